--- a/src/wheelslip/routing/cost.py
+++ b/src/wheelslip/routing/cost.py
@@ -1,13 +1,14 @@
-"""What each engine costs a request, and which one is worth sending to now.
+"""Estimates the cost of each engine for a request and selects one.
 
-Cost, in seconds of first-token time::
+The cost is in seconds until the first token::
 
-    expected wait + price * (uncached prompt tokens / prefill rate) + other-zone penalty
+    expected wait + weight * (uncached prompt tokens / prefill rate) + other-zone penalty
 
-Engines of equal cost are taken by the rendezvous home of the prompt's head, so that nodes
-agree without talking. A hot prefix widens to further engines in two ways: whoever has waited
-long enough takes the next best, and a long row of followers makes a second engine compute
-the prefix. It shrinks again as blocks age.
+Among engines of equal cost, the rendezvous home of the prompt's head is selected, so all nodes
+select the same one without communication. A frequently used prefix spreads to further engines in
+two ways: a request that has waited long enough accepts the next best engine, and when many
+requests wait for the same prefill, a second engine computes the prefix. The additional copies
+are dropped as their blocks age.
 """
 
 from collections.abc import Iterator
@@ -17,33 +18,33 @@
 from wheelslip.routing.engine_view import EngineView
 from wheelslip.routing.index import PrefixIndex
 from wheelslip.routing.model import EngineState, RoutingRequest
-from wheelslip.routing.prefills import PrefillBoard
+from wheelslip.routing.prefills import ActivePrefills
 from wheelslip.routing.prefix import BLOCK_TOKENS
 from wheelslip.routing.sharing import ASK_TIMEOUT_SECONDS
 
 HEAD_SHARE = 0.5
-"""The head that places a prompt is its first power-of-two blocks within this share of it:
-short enough to be shared, long enough to part what is nested under one common start."""
+"""The head that determines a prompt's home is its largest power-of-two number of blocks within
+this share of the prompt."""
 
 OTHER_ZONE_SECONDS = 0.004
-"""Penalty for another zone: two extra crossings of a little more than a millisecond."""
+"""Penalty for another zone: two additional network crossings."""
 
 HOME_PREFERENCE_SECONDS = 0.05
 """Advantage of the rendezvous home over other engines of equal cost."""
 
 INITIAL_HOME_HIT_SHARE = 0.5
-"""First guess of how much of an unknown prompt its home holds, from other nodes' requests."""
+"""Initial estimate of the share of an unknown prompt that its home has cached because other nodes
+send the same prefix there."""
 
 _HOME_HIT_SMOOTHING = 0.05
 FOLLOW_MIN_TOKENS = 1024
-"""Uncached tokens from which a request waits for another that computes the same."""
+"""Uncached tokens from which a request waits for a prefill of the same prefix."""
 
 MAX_FOLLOW_SECONDS = 10.0
-"""Longest wait for another request's prefill."""
+"""A prefill that started longer ago is not waited for."""
 
 RUNNING_REQUEST_SECONDS = 0.002
-"""Cost of each request this node already has at an engine: it lengthens every step there,
-and without it all requests of equal cost would go to one engine."""
+"""Cost of each request of this node at an engine: it lengthens every step there."""
 
 PREFILL_INTERFERENCE = 0.05
 """Share by which each running request raises the cost of computing a prompt beside it."""
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True)
 class SchedulerOptions:
-    """Mechanisms that an ablation run can turn off, and the node's bounds."""
+    """Limits of the node, and mechanisms that can be disabled for ablation runs."""
 
     zone: str = ""
     max_waiting: int = 128
@@ -65,40 +66,47 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """One engine for one request, with what it costs and why.
+    """Cost estimate of one engine for one request.
 
-    :param known_cost_seconds: the cost if no more is cached than this node knows of.
+    :ivar cached_tokens: tokens estimated to be cached there.
+    :ivar indexed_tokens: tokens cached there according to this node's prefix index.
+    :ivar indexed_cost_seconds: the cost if no more than the indexed tokens are cached.
+    :ivar is_home: the engine is the rendezvous home of the prompt's head.
     """
 
     engine: EngineView
     cost_seconds: float
-    known_cost_seconds: float
+    indexed_cost_seconds: float
     wait_seconds: float
     cached_tokens: int
-    known_tokens: int
-    known_blocks: int
+    indexed_tokens: int
+    indexed_blocks: int
     is_home: bool
 
 
 @dataclass(frozen=True)
-class _Leader:
-    """A computation that a request may wait for, in place of computing beside it."""
+class _InFlightPrefill:
+    """A prefill that a request may wait for instead of computing the prefix itself.
+
+    :ivar name: key in :class:`ActivePrefills`.
+    :ivar remaining_seconds: prefill time of the tokens that the request does not share with it.
+    """
 
     name: str
     following_cost: float
     computing_cost: float
-    rest_seconds: float
+    remaining_seconds: float
 
 
 class EngineChooser:
-    """Prices engines from views, prefix index and prefills that the scheduler owns."""
+    """Selects engines from the views, prefix index and prefills that the scheduler maintains."""
 
     def __init__(
         self,
         options: SchedulerOptions,
         engines: dict[str, EngineView],
         index: PrefixIndex,
-        prefills: PrefillBoard,
+        prefills: ActivePrefills,
     ):
         self._options = options
         self._engines = engines
@@ -111,19 +119,22 @@
     ) -> Choice | None:
         """Return the engine to send to now, or ``None`` to keep the request waiting.
 
-        :param following: seconds of work already waiting for each prefill, by request id.
+        :param following: seconds of work already waiting for each prefill, by its name; updated
+            when the request waits for one.
         """
-        ready = [
+        available = [
             view
             for view in self._engines.values()
             if eligible(view, request) and view.takes_work(now)
         ]
-        if not ready:
+        if not available:
             return None
-        choices = sorted(self._costs(request, ready, now), key=lambda one: one.cost_seconds)
+        choices = sorted(
+            self._costs(request, available, now), key=lambda choice: choice.cost_seconds
+        )
         best = choices[0]
-        # Whoever has waited for the best engine is likely to wait as long again, so in time
-        # the next best becomes worth its price: this too widens a hot prefix.
+        # The expected further wait equals the time waited so far, so a more expensive engine
+        # becomes acceptable as the request waits.
         limit = best.cost_seconds + (now - request.arrived)
         for choice in choices:
             if choice.cost_seconds > limit:
@@ -133,8 +144,8 @@
                 return None if follows else choice
         return None
 
-    def learn_home(self, keys: tuple[int, ...], cached_tokens: int) -> None:
-        """Learn how much of a prompt its home held when this node knew nothing of it."""
+    def record_home_hit(self, keys: tuple[int, ...], cached_tokens: int) -> None:
+        """Record how much of a prompt its home had cached when the index had no entry for it."""
         if keys:
             share = min(1.0, cached_tokens / (len(keys) * BLOCK_TOKENS))
             self._home_hit_share += _HOME_HIT_SMOOTHING * (share - self._home_hit_share)
@@ -145,12 +156,12 @@
         for view in views:
             keys = request.keys(view.info.weights_version)
             blocks = self._index.cached_blocks(view.info.name, keys, now)
-            known = min(blocks * BLOCK_TOKENS, request.prompt_tokens)
+            indexed = min(blocks * BLOCK_TOKENS, request.prompt_tokens)
             is_home = view.info.name == home
-            cached = known
+            cached = indexed
             if is_home:
                 # Other nodes send this prefix there too, so it is likely to be cached.
-                cached = max(known, int(self._home_hit_share * len(keys) * BLOCK_TOKENS))
+                cached = max(indexed, int(self._home_hit_share * len(keys) * BLOCK_TOKENS))
             wait = view.wait_seconds(now)
             running = view.running(now)
             base = wait + running * RUNNING_REQUEST_SECONDS
@@ -158,13 +169,13 @@
                 base += OTHER_ZONE_SECONDS
             if is_home:
                 base -= HOME_PREFERENCE_SECONDS
-            # Computing a prompt slows every stream that runs beside it.
+            # A prefill slows every stream that runs beside it.
             weight = request.recompute_weight * (1 + PREFILL_INTERFERENCE * running)
-            cost, known_cost = (
+            cost, indexed_cost = (
                 base + weight * view.prefill_seconds(max(1, request.prompt_tokens - tokens))
-                for tokens in (cached, known)
+                for tokens in (cached, indexed)
             )
-            choices.append(Choice(view, cost, known_cost, wait, cached, known, blocks, is_home))
+            choices.append(Choice(view, cost, indexed_cost, wait, cached, indexed, blocks, is_home))
         return choices
 
     def _home(self, request: RoutingRequest, views: list[EngineView]) -> str | None:
@@ -178,48 +189,50 @@
     def _follows(
         self, request: RoutingRequest, best: Choice, now: float, following: dict[str, float]
     ) -> bool:
-        """Whether the request waits for another that computes enough of its prompt.
+        """Return whether the request waits for a prefill that computes enough of its prompt.
 
-        Those already waiting for the same prefill are counted, so that a long row of them
-        makes a second engine compute the prefix: that is how a hot prefix widens.
+        The work already waiting for the prefill raises the cost of following it, so that a second
+        engine computes the prefix when many requests wait.
         """
-        for leader in self._leaders(request, best, now, following):
-            if leader.following_cost < leader.computing_cost + HOME_PREFERENCE_SECONDS:
-                following[leader.name] = following.get(leader.name, 0.0) + leader.rest_seconds
+        for prefill in self._in_flight(request, best, now, following):
+            if prefill.following_cost < prefill.computing_cost + HOME_PREFERENCE_SECONDS:
+                following[prefill.name] = (
+                    following.get(prefill.name, 0.0) + prefill.remaining_seconds
+                )
                 return True
         return False
 
-    def passed_over(
+    def skipped_prefills(
         self, request: RoutingRequest, best: Choice, now: float, following: dict[str, float]
     ) -> tuple[tuple[str, float], ...]:
-        """Return the computations that a request might wait for, and at what cost."""
-        leaders = self._leaders(request, best, now, following)
-        return tuple((leader.name, round(leader.following_cost, 3)) for leader in leaders)
+        """Return name and following cost of each prefill that the request could wait for."""
+        prefills = self._in_flight(request, best, now, following)
+        return tuple((prefill.name, round(prefill.following_cost, 3)) for prefill in prefills)
 
-    def _leaders(
+    def _in_flight(
         self, request: RoutingRequest, best: Choice, now: float, following: dict[str, float]
-    ) -> Iterator[_Leader]:
-        """Yield the computations of enough of a prompt to be worth a wait."""
-        if request.prompt_tokens - best.known_tokens < FOLLOW_MIN_TOKENS:
+    ) -> Iterator[_InFlightPrefill]:
+        """Yield the prefills that compute enough of a prompt to be worth waiting for."""
+        if request.prompt_tokens - best.indexed_tokens < FOLLOW_MIN_TOKENS:
             return
-        for leader, prefill in self._prefills:
+        for name, prefill in self._prefills:
             view = self._engines.get(prefill.engine)
             if view is None or now - prefill.started_at > MAX_FOLLOW_SECONDS:
                 continue
             cached, computing = best.cached_tokens, best.cost_seconds
-            if prefill.elsewhere is not None and view is best.engine:
-                # The guess stands for what other nodes sent here, and its home has just told
-                # of that: what this engine still computes for one of them it does not hold yet.
-                cached, computing = best.known_tokens, best.known_cost_seconds
+            if prefill.remote_head is not None and view is best.engine:
+                # The home node reports that this engine is still computing the prefix for another
+                # node, so the estimate of what other nodes have cached there does not apply.
+                cached, computing = best.indexed_tokens, best.indexed_cost_seconds
             if request.prompt_tokens - cached < FOLLOW_MIN_TOKENS:
                 continue
             shared = prefill.shared_blocks(request.keys(view.info.weights_version))
             if shared * BLOCK_TOKENS - cached < FOLLOW_MIN_TOKENS:
                 continue
-            rest = view.prefill_seconds(request.prompt_tokens - shared * BLOCK_TOKENS)
-            ahead = max(0.0, prefill.expected_end - now) + following.get(leader, 0.0)
-            following_cost = ahead + request.recompute_weight * rest
-            yield _Leader(leader, following_cost, computing, rest)
+            remaining = view.prefill_seconds(request.prompt_tokens - shared * BLOCK_TOKENS)
+            wait = max(0.0, prefill.expected_end - now) + following.get(name, 0.0)
+            following_cost = wait + request.recompute_weight * remaining
+            yield _InFlightPrefill(name, following_cost, computing, remaining)
 
 
 def eligible(view: EngineView, request: RoutingRequest) -> bool:
@@ -230,8 +243,8 @@
 
 
 def head_key(keys: tuple[int, ...]) -> int | None:
-    """Return the key that places a prompt; ``None`` when it has no whole block."""
+    """Return the key of a prompt's head; ``None`` when the prompt has no complete block."""
     if not keys:
         return None
-    reach = max(1, int(len(keys) * HEAD_SHARE))
-    return keys[(1 << (reach.bit_length() - 1)) - 1]
+    head_blocks = max(1, int(len(keys) * HEAD_SHARE))
+    return keys[(1 << (head_blocks.bit_length() - 1)) - 1]
--- a/src/wheelslip/routing/fleet_choice.py
+++ b/src/wheelslip/routing/fleet_choice.py
@@ -1,9 +1,9 @@
-"""Choice of workers for the requests of all nodes, from exact loads and holdings.
+"""Selection of workers for the requests of all nodes, from exact loads and cached prompts.
 
-One node, the dispatcher, chooses for all and is told when each request has its first token
-and when it ends. So it knows what runs at each worker, which parts of prompts each worker
-keeps or reads just now, and what each link has to move. It weighs all workers; nobody else
-chooses at the same time, so nothing herds.
+One node per service, the dispatcher, selects workers for all nodes. It is notified of the first
+token and the end of each request, so it records the load of each worker, the prompt parts that
+each worker has cached or is computing, and the transfers pending on each link. It compares all
+workers rather than a random sample, since no other node selects at the same time.
 """
 
 import random
@@ -12,60 +12,64 @@
 from typing import NamedTuple
 
 from wheelslip.deployment import CachePlan, CacheStore, EngineProfile, Incarnation, Worker
-from wheelslip.routing.cache_moves import MoveEnd, MoveSchedule
-from wheelslip.routing.fleet_memory import FleetMemory, KeptPrompt
+from wheelslip.routing.cache_moves import TransferEndpoint, TransferSchedule
+from wheelslip.routing.fleet_memory import CachedPrompt, FleetCacheIndex
 from wheelslip.routing.holdings import Chain
 from wheelslip.routing.load_table import LoadAtWorker, LoadTable
-from wheelslip.routing.offers import Keeper, Offer, PromptHoldings, end_of, end_of_store
-from wheelslip.routing.overload import AdmissionLimits, Overloaded, Turns
+from wheelslip.routing.offers import (
+    CacheHolder,
+    PromptCacheState,
+    WorkerEstimate,
+    store_endpoint,
+    worker_endpoint,
+)
+from wheelslip.routing.overload import AdmissionLimits, Overloaded, RetrySchedule
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.worker_choice import (
-    INTERFERENCE,
-    LEAST_MOVED_TOKENS,
+    MIN_TRANSFER_TOKENS,
     OTHER_ZONE_SECONDS,
+    PREFILL_INTERFERENCE,
     PREFILL_TOKENS_PER_SECOND,
-    RUNNING_SECONDS,
+    RUNNING_REQUEST_SECONDS,
     DeploymentView,
     WorkerPlacement,
 )
 
 ARRIVAL_MEMORY_SECONDS = 2.0
-"""Time constant over which arrivals are counted."""
+"""Time constant of the arrival rate estimate."""
 
-REREAD_SECONDS_PER_TOKEN = 0.0002
-"""Cost of each token of a shared part that is read although a worker has read it of late. The
-deployments price 1,000 such tokens like a quarter of an answer, and a late answer costs most
-of its worth: so a request rather waits 0.2 s for a worker that keeps 1,000 tokens, or reads
-them just now, than has them read again."""
+RECOMPUTE_SECONDS_PER_TOKEN = 0.0002
+"""Extra cost of each token of a recently used shared part that is computed again: a request
+prefers to wait 0.2 s for a worker that has 1,000 of its tokens cached."""
 
-MAX_DELAYED = 4.0
-"""Most requests that one more read is taken to delay, in the cost of reading a part again."""
+MAX_DELAYED_REQUESTS = 4.0
+"""Upper bound of the number of requests that one prefill is assumed to delay."""
 
-HEARD_SECONDS = 0.5
-"""A worker from which another node heard within this time is not suspected because one node
-does not reach it."""
+RECENT_CONTACT_SECONDS = 0.5
+"""A worker that another node reached within this time is not suspected when one node fails to
+reach it."""
 
 
 class RunningRequest(NamedTuple):
-    """A request that a node has running, for a dispatcher that does not know it.
+    """A running request of a node, reported to a dispatcher without a record of it.
 
-    :ivar ask: the number of the node's question.
-    :ivar unread_tokens: 0 once it had its first token.
+    :ivar ask: number of the placement query at the node.
+    :ivar prefill_tokens: prompt tokens still to be computed; 0 after the first token.
     """
 
     ask: int
     worker: Incarnation
     weights_version: int | None
     chain: Chain
-    unread_tokens: int
+    prefill_tokens: int
     held_tokens: int
 
 
 class FleetPlacement(WorkerPlacement):
-    """Chooses for all nodes.
+    """Selects workers on behalf of all nodes.
 
-    :param table: of this node; only the saved prompts in it are used and told on.
-    :param limits_admission: whether requests that no worker can begin in time get no worker.
+    :param table: table of this node, of which only the saved prompts are used and updated.
+    :param limits_admission: returns whether requests that no worker can start in time are refused.
     """
 
     def __init__(
@@ -79,260 +83,279 @@
         super().__init__(registry, clock, random_source, table)
         self._limits_admission = limits_admission
         self._admission: dict[str, AdmissionLimits] = {}
-        self._turns = Turns()
-        self._memory = FleetMemory(clock)
-        self._moves = MoveSchedule()
+        self._retry_schedule = RetrySchedule()
+        self._cache_index = FleetCacheIndex(clock)
+        self._transfers = TransferSchedule()
         self._arrivals = 0.0
-        self._arrived_at = 0.0
-        self._heard: dict[Incarnation, tuple[str, float]] = {}
+        self._last_arrival_at = 0.0
+        self._last_contact: dict[Incarnation, tuple[str, float]] = {}
 
-    def all_loads(self, worker_id: Incarnation) -> LoadAtWorker:
-        """Return what all nodes have at a worker: all that was placed here."""
+    def total_load(self, worker_id: Incarnation) -> LoadAtWorker:
+        """Return the load of a worker, summed over all nodes: every request is placed here."""
         load = self.load(worker_id)
-        return LoadAtWorker(worker_id, load.running, load.prompt_tokens, load.held_tokens)
+        return LoadAtWorker(worker_id, load.running, load.prefill_tokens, load.held_tokens)
 
     def forget(self, worker_id: Incarnation) -> None:
-        """A worker is gone."""
+        """Delete the records of a departed worker."""
         super().forget(worker_id)
-        self._memory.forget(worker_id)
-        self._heard.pop(worker_id, None)
-
-    # Choice
+        self._cache_index.forget(worker_id)
+        self._last_contact.pop(worker_id, None)
 
     def _choose_engine(
         self, query: PlacementQuery, candidates: list[Worker], engine: EngineProfile
     ) -> Placement:
-        """Return the worker of least cost among those that can begin the request in time.
+        """Return the worker of lowest cost among those that can start the request in time.
 
-        :raises Overloaded: when there is none.
+        :raises Overloaded: when no worker can.
         """
         now = self._clock()
         preferred = self._preferred(query, candidates)
-        preferred_ids = {one.info.id for one in preferred}
+        preferred_ids = {candidate.info.id for candidate in preferred}
         home = self._home(query, preferred)
         store = self._store(query)
-        delayed = self._delayed_requests(candidates, now)
+        delayed_requests = self._delayed_requests(candidates, now)
         by_version: dict[int | None, list[Worker]] = defaultdict(list)
         for worker in candidates:
             by_version[worker.weights.get(query.model)].append(worker)
         limits = self._admission.setdefault(query.service, AdmissionLimits())
-        is_limited = self._limits_admission() and not query.begun
-        best, best_prompt, least, shortest = None, None, float("inf"), float("inf")
+        is_limited = self._limits_admission() and not query.sent_before
+        best, best_state, lowest_cost, least_excess = None, None, float("inf"), float("inf")
         for version, workers in by_version.items():
-            prompt = self._prompt(query, version, workers, engine, store)
-            replaced = self._is_replaced(query.model, version)
+            state = self._cache_state(query, version, workers, engine, store)
+            outdated = self._is_outdated(query.model, version)
             for worker in workers:
-                outside = worker.info.id not in preferred_ids
-                cost = self._extra_cost(query, worker, outside, replaced)
+                other_length = worker.info.id not in preferred_ids
+                cost = self._extra_cost(query, worker, other_length, outdated)
                 if worker is home:
                     cost -= OTHER_ZONE_SECONDS
-                if cost >= least:
+                if cost >= lowest_cost:
                     continue
-                offer = self._offer(query, worker, prompt, engine, now, delayed)
+                estimate = self._estimate(query, worker, state, engine, now, delayed_requests)
                 longest = limits.longest_wait(
-                    query.priority, query.target_seconds, offer.read_seconds
+                    query.priority, query.target_seconds, estimate.prefill_seconds
                 )
-                shortest = min(shortest, offer.wait_seconds - longest)
-                is_late = is_limited and offer.wait_seconds > longest
-                if not is_late and offer.cost + cost < least:
-                    best, best_prompt, least = offer, prompt, offer.cost + cost
+                least_excess = min(least_excess, estimate.wait_seconds - longest)
+                is_late = is_limited and estimate.wait_seconds > longest
+                if not is_late and estimate.cost + cost < lowest_cost:
+                    best, best_state, lowest_cost = estimate, state, estimate.cost + cost
         if best is None:
-            raise Overloaded(self._retry_seconds(query, engine, len(candidates), shortest))
-        return self._placed(query, best, best_prompt, engine, store)
+            raise Overloaded(self._retry_seconds(query, engine, len(candidates), least_excess))
+        return self._placement(query, best, best_state, engine, store)
 
     def _retry_seconds(
         self, query: PlacementQuery, engine: EngineProfile, workers: int, wait_seconds: float
     ) -> float:
-        """Return when the turn of a request comes that no worker can begin in time."""
+        """Return after how long a refused request should be retried."""
         work_seconds = query.prompt_tokens / PREFILL_TOKENS_PER_SECOND
         work_seconds += self._request_seconds / max(1, engine.capacity)
-        return self._turns.retry_seconds(self._clock(), wait_seconds, work_seconds / workers)
+        return self._retry_schedule.retry_seconds(
+            self._clock(), wait_seconds, work_seconds / workers
+        )
 
-    def _prompt(
+    def _cache_state(
         self,
         query: PlacementQuery,
         version: int | None,
         workers: list[Worker],
         engine: EngineProfile,
         store: CacheStore | None,
-    ) -> PromptHoldings:
-        """Return who keeps what of a prompt, and the best source to fetch it from."""
+    ) -> PromptCacheState:
+        """Return where a prompt is cached and the best source to fetch it from.
+
+        Of the workers and stores with the longest cached prefix, the source is the one whose
+        transfers end first.
+        """
         chain = query.chain(version)
         shared = chain[:-1]
-        cached, keepers = {}, []
+        cached, holders = {}, []
         for worker in workers:
             worker_id = worker.info.id
-            cached[worker_id] = self._memory.cached_tokens(worker_id, engine, chain)
+            cached[worker_id] = self._cache_index.cached_tokens(worker_id, engine, chain)
             if not cached[worker_id]:
                 continue
-            readable = self._memory.readable_tokens(worker_id, engine, shared)
-            if readable:
-                keepers.append(Keeper(readable, end_of(worker, engine)))
+            fetchable = self._cache_index.fetchable_tokens(worker_id, engine, shared)
+            if fetchable:
+                holders.append(CacheHolder(fetchable, worker_endpoint(worker, engine)))
         if store is not None:
-            stored = self._memory.stored_tokens(store, shared)
-            keepers.append(Keeper(stored, end_of_store(store)))
-        most = max((one.tokens for one in keepers), default=0)
-        ends = [one.end for one in keepers if one.tokens == most and most]
-        source = min(ends, key=lambda one: self._moves.busy_until(one.address), default=None)
-        return PromptHoldings(chain, cached, source, most, self._memory.recent(shared))
-
-    def _offer(
+            stored = self._cache_index.stored_tokens(store, shared)
+            holders.append(CacheHolder(stored, store_endpoint(store)))
+        longest = max((holder.tokens for holder in holders), default=0)
+        endpoints = [holder.endpoint for holder in holders if holder.tokens == longest and longest]
+        source = min(
+            endpoints,
+            key=lambda endpoint: self._transfers.busy_until(endpoint.address),
+            default=None,
+        )
+        return PromptCacheState(
+            chain, cached, source, longest, self._cache_index.recently_used_ranges(shared)
+        )
+
+    def _estimate(
         self,
         query: PlacementQuery,
         worker: Worker,
-        prompt: PromptHoldings,
+        state: PromptCacheState,
         engine: EngineProfile,
         now: float,
-        delayed: float,
-    ) -> Offer:
+        delayed_requests: float,
+    ) -> WorkerEstimate:
         load = self.load(worker.info.id)
-        cached = prompt.cached[worker.info.id]
-        moved, move_seconds = self._move(worker, prompt, cached, engine, now)
-        read = max(0, query.prompt_tokens - cached - moved)
-        read_seconds = read / PREFILL_TOKENS_PER_SECOND
-        unread_seconds = load.prompt_tokens / PREFILL_TOKENS_PER_SECOND
-        cost = unread_seconds + read_seconds * (1.0 + delayed)
-        cost += REREAD_SECONDS_PER_TOKEN * prompt.reread_tokens(cached + moved)
-        cost += load.running * (RUNNING_SECONDS + INTERFERENCE * read_seconds) + move_seconds
+        cached = state.cached_tokens[worker.info.id]
+        fetched, fetch_seconds = self._fetch_estimate(worker, state, cached, engine, now)
+        prefill = max(0, query.prompt_tokens - cached - fetched)
+        prefill_seconds = prefill / PREFILL_TOKENS_PER_SECOND
+        backlog_seconds = load.prefill_tokens / PREFILL_TOKENS_PER_SECOND
+        cost = backlog_seconds + prefill_seconds * (1.0 + delayed_requests)
+        cost += RECOMPUTE_SECONDS_PER_TOKEN * state.recomputed_tokens(cached + fetched)
+        cost += (
+            load.running * (RUNNING_REQUEST_SECONDS + PREFILL_INTERFERENCE * prefill_seconds)
+            + fetch_seconds
+        )
         held = load.held_tokens + query.prompt_tokens + query.output_tokens
-        turn_seconds = self._turn_seconds(load.running, held, engine)
-        return Offer(
-            cost + turn_seconds,
+        slot_wait_seconds = self._slot_wait_seconds(load.running, held, engine)
+        return WorkerEstimate(
+            cost + slot_wait_seconds,
             worker,
-            read,
-            moved,
-            unread_seconds + turn_seconds,
-            read_seconds + move_seconds,
+            prefill,
+            fetched,
+            backlog_seconds + slot_wait_seconds,
+            prefill_seconds + fetch_seconds,
         )
 
-    def _move(
-        self, worker: Worker, prompt: PromptHoldings, cached: int, engine: EngineProfile, now: float
+    def _fetch_estimate(
+        self,
+        worker: Worker,
+        state: PromptCacheState,
+        cached: int,
+        engine: EngineProfile,
+        now: float,
     ) -> tuple[int, float]:
-        """Return how many tokens are fetched for a worker and how long that takes."""
-        moved = prompt.source_tokens - cached
-        if prompt.source is None or moved < LEAST_MOVED_TOKENS:
+        """Return how many tokens a worker would fetch and how many seconds that would take."""
+        fetched = state.source_tokens - cached
+        if state.source is None or fetched < MIN_TRANSFER_TOKENS:
             return 0, 0.0
-        size = moved * engine.token_bytes
-        seconds = self._moves.seconds(prompt.source, end_of(worker, engine), size, now)
-        return (0, 0.0) if seconds is None else (moved, seconds)
+        size = fetched * engine.token_bytes
+        seconds = self._transfers.seconds(state.source, worker_endpoint(worker, engine), size, now)
+        return (0, 0.0) if seconds is None else (fetched, seconds)
 
-    def _placed(
+    def _placement(
         self,
         query: PlacementQuery,
-        offer: Offer,
-        prompt: PromptHoldings,
+        estimate: WorkerEstimate,
+        state: PromptCacheState,
         engine: EngineProfile,
         store: CacheStore | None,
     ) -> Placement:
-        worker = offer.worker
-        unread = self._memory.unread_keys(worker.info.id, engine, prompt.chain)
+        worker = estimate.worker
+        uncached_keys = self._cache_index.uncached_keys(worker.info.id, engine, state.chain)
         version = worker.weights.get(query.model)
         fetch_from, save_to = "", ""
-        if sum(tokens for _, tokens in prompt.chain[:-1]) >= LEAST_MOVED_TOKENS:
-            fetch_from = self._fetch_from(offer, prompt, store)
-            if store is not None and not self._memory.is_saved(store, prompt.chain):
+        if sum(tokens for _, tokens in state.chain[:-1]) >= MIN_TRANSFER_TOKENS:
+            fetch_from = self._fetch_from(estimate, state, store)
+            if store is not None and not self._cache_index.is_saved(store, state.chain):
                 save_to = store.address
         return Placement(
             worker,
             version,
-            prompt.chain,
-            offer.read_tokens,
-            prompt.cached[worker.info.id],
+            state.chain,
+            estimate.prefill_tokens,
+            state.cached_tokens[worker.info.id],
             query.prompt_tokens + query.output_tokens,
-            CachePlan(query.salt(version), fetch_from, save_to) if prompt.chain else None,
-            offer.fetched_tokens,
-            unread,
+            CachePlan(query.salt(version), fetch_from, save_to) if state.chain else None,
+            estimate.fetched_tokens,
+            uncached_keys,
         )
 
-    def _fetch_from(self, offer: Offer, prompt: PromptHoldings, store: CacheStore | None) -> str:
-        """Return where a worker fetches what it lacks.
+    def _fetch_from(
+        self, estimate: WorkerEstimate, state: PromptCacheState, store: CacheStore | None
+    ) -> str:
+        """Return the address from which a worker fetches missing KV cache.
 
-        A miss costs a millisecond and what the worker keeps is not moved, so the store is
-        named even when it is not known to have anything: a dispatcher that has just taken
-        over knows little.
+        The store is named even without a record of the prompt there, because the records are
+        incomplete after a change of dispatcher, a miss is cheap and cached parts are not fetched.
         """
-        if offer.fetched_tokens:
-            return prompt.source.address
+        if estimate.fetched_tokens:
+            return state.source.address
         return store.address if store is not None else ""
 
     def _delayed_requests(self, candidates: list[Worker], now: float) -> float:
-        """Return how many requests wait longer when one worker reads for longer.
+        """Return how many requests are delayed by additional prefill work at one worker.
 
-        While a backlog lasts, each second of work delays all that come to the worker until
-        the backlog is done: the fuller the fleet, the dearer is a part that is read again.
+        Additional work delays all requests that arrive at the worker until its backlog is done,
+        so recomputing a part costs more the longer the backlogs are.
         """
-        self._note_arrival(now)
-        unread = sum(self.load(one.info.id).prompt_tokens for one in candidates)
+        self._record_arrival(now)
+        pending = sum(self.load(worker.info.id).prefill_tokens for worker in candidates)
         count = max(1, len(candidates))
-        backlog_seconds = unread / PREFILL_TOKENS_PER_SECOND / count
+        backlog_seconds = pending / PREFILL_TOKENS_PER_SECOND / count
         rate = self._arrivals / ARRIVAL_MEMORY_SECONDS / count
-        return min(MAX_DELAYED, rate * backlog_seconds)
-
-    def _note_arrival(self, now: float) -> None:
-        fade = max(0.0, 1.0 - (now - self._arrived_at) / ARRIVAL_MEMORY_SECONDS)
-        self._arrivals = self._arrivals * fade + 1.0
-        self._arrived_at = now
+        return min(MAX_DELAYED_REQUESTS, rate * backlog_seconds)
 
-    # Stores
+    def _record_arrival(self, now: float) -> None:
+        decay = max(0.0, 1.0 - (now - self._last_arrival_at) / ARRIVAL_MEMORY_SECONDS)
+        self._arrivals = self._arrivals * decay + 1.0
+        self._last_arrival_at = now
 
     def _store(self, query: PlacementQuery) -> CacheStore | None:
-        return self._store_at(self._store_of(query))
+        return self._store_at(self._store_address(query))
 
     def _store_at(self, address: str) -> CacheStore | None:
         stores = self._registry.configuration.cache_stores
-        return next((one for one in stores if one.address == address), None)
-
-    # Feedback
+        return next((store for store in stores if store.address == address), None)
 
     def begin(self, placement: Placement) -> float:
-        """A request is sent: its worker reads the prompt, and will keep it."""
+        """Record that a request is sent and that its worker computes and caches the prompt."""
         began_at = super().begin(placement)
         engine = self._engine(placement.worker.info.service)
         if engine is not None and placement.chain:
-            self._memory.begin(placement, engine)
+            self._cache_index.begin(placement, engine)
             if placement.fetched_tokens:
-                self._begin_move(placement, engine, began_at)
+                self._record_fetch(placement, engine, began_at)
         return began_at
 
-    def _begin_move(self, placement: Placement, engine: EngineProfile, now: float) -> None:
+    def _record_fetch(self, placement: Placement, engine: EngineProfile, now: float) -> None:
         address = placement.cache.fetch_from
         store = self._store_at(address)
         if store is not None:
-            self._memory.note_fetched(store, placement.chain[:-1])
-        source = end_of_store(store) if store is not None else self._worker_end(address, engine)
+            self._cache_index.record_fetch(store, placement.chain[:-1])
+        source = store_endpoint(store) if store is not None else self._endpoint_at(address, engine)
         if source is not None:
             size = placement.fetched_tokens * engine.token_bytes
-            self._moves.add(source, end_of(placement.worker, engine), size, now)
+            self._transfers.add(source, worker_endpoint(placement.worker, engine), size, now)
 
-    def _worker_end(self, address: str, engine: EngineProfile) -> MoveEnd | None:
+    def _endpoint_at(self, address: str, engine: EngineProfile) -> TransferEndpoint | None:
         for worker in self._registry.workers.values():
             if worker.info.address == address:
-                return end_of(worker, engine)
+                return worker_endpoint(worker, engine)
         return None
 
     def first_token(self, placement: Placement, began_at: float) -> None:
-        """The worker has read the prompt, and sends it to the store if it was told to."""
+        """Record that a prefill has ended and that the prompt is saved if that was planned."""
         super().first_token(placement, began_at)
         engine = self._engine(placement.worker.info.service)
-        if engine is None or not placement.chain or not self._is_there(placement.worker.info.id):
+        if (
+            engine is None
+            or not placement.chain
+            or not self._is_registered(placement.worker.info.id)
+        ):
             return
-        self._memory.finish(placement, engine)
+        self._cache_index.finish(placement, engine)
         store = self._store_at(placement.cache.save_to) if placement.cache else None
         if store is not None:
-            self._memory.note_saved(store, placement)
+            self._cache_index.record_save(store, placement)
             size = sum(tokens for _, tokens in placement.chain) * engine.token_bytes
-            source = end_of(placement.worker, engine)
-            self._moves.add(source, end_of_store(store), size, self._clock())
+            source = worker_endpoint(placement.worker, engine)
+            self._transfers.add(source, store_endpoint(store), size, self._clock())
 
     def end(self, placement: Placement, began_at: float, had_first_token: bool) -> None:
-        """A request is no longer at its worker; what was not read is not kept."""
+        """Record that a request has left its worker; a prompt without a token is not cached."""
         super().end(placement, began_at, had_first_token)
-        is_there = self._is_there(placement.worker.info.id)
-        if not had_first_token and placement.chain and is_there:
-            self._memory.abandon(placement)
+        is_registered = self._is_registered(placement.worker.info.id)
+        if not had_first_token and placement.chain and is_registered:
+            self._cache_index.abandon(placement)
 
-    def adopted(self, running: RunningRequest) -> Placement | None:
-        """Return the placement of a request that runs already, ``None`` at unknown workers."""
+    def rebuild_placement(self, running: RunningRequest) -> Placement | None:
+        """Return the placement of a running request, ``None`` when its worker is not registered."""
         worker = self._registry.workers.get(running.worker)
         if worker is None:
             return None
@@ -340,26 +363,28 @@
             worker,
             running.weights_version,
             running.chain,
-            running.unread_tokens,
+            running.prefill_tokens,
             held_tokens=running.held_tokens,
         )
 
-    def learn(self, kept: KeptPrompt) -> None:
-        """Take over what another dispatcher knew: a worker has read a prompt."""
-        worker = self._registry.workers.get(kept.worker)
+    def record_cached_prompt(self, prompt: CachedPrompt) -> None:
+        """Record a prompt that a worker computed under another dispatcher."""
+        worker = self._registry.workers.get(prompt.worker)
         engine = self._engine(worker.info.service) if worker else None
         if engine is not None:
-            self._memory.learn(kept, engine)
+            self._cache_index.record_prompt(prompt, engine)
 
-    # Liveness
+    def record_contact(self, worker_id: Incarnation, node: str) -> None:
+        """Record that a node received a response from a worker."""
+        if self._is_registered(worker_id):
+            self._last_contact[worker_id] = (node, self._clock())
 
-    def heard(self, worker_id: Incarnation, node: str) -> None:
-        """A node has heard from a worker."""
-        if self._is_there(worker_id):
-            self._heard[worker_id] = (node, self._clock())
+    def record_unreachable(self, worker_id: Incarnation, node: str) -> None:
+        """Record that a node cannot reach a worker.
 
-    def unreached(self, worker_id: Incarnation, node: str) -> None:
-        """A node cannot reach a worker; it is avoided unless another node just heard it."""
-        by, at = self._heard.get(worker_id, ("", float("-inf")))
-        if by == node or self._clock() - at > HEARD_SECONDS:
+        The worker is suspected unless another node reached it within
+        :data:`RECENT_CONTACT_SECONDS`.
+        """
+        last_node, last_at = self._last_contact.get(worker_id, ("", float("-inf")))
+        if last_node == node or self._clock() - last_at > RECENT_CONTACT_SECONDS:
             self.suspect(worker_id)
--- a/src/wheelslip/routing/fleet_memory.py
+++ b/src/wheelslip/routing/fleet_memory.py
@@ -1,7 +1,7 @@
-"""What workers and stores are believed to keep of prompts, from all requests of a fleet.
+"""Prompt parts cached at workers and stores, recorded from the requests of all nodes.
 
-Exact as far as it goes: every request that is granted and what becomes of it is told here.
-Still a hint only: salts and preconditions at the worker decide what may be used.
+The dispatcher records every request that it grants and the outcome. The records may still be
+wrong: the worker itself decides by salt and precondition which cached parts it uses.
 """
 
 from collections import Counter, OrderedDict, defaultdict
@@ -9,115 +9,114 @@
 from typing import NamedTuple
 
 from wheelslip.deployment import CacheStore, EngineProfile, Incarnation
-from wheelslip.routing.holdings import Chain, WorkerHoldings
+from wheelslip.routing.holdings import CachedParts, Chain
 from wheelslip.routing.placement import Placement
 from wheelslip.routing.saved_prompts import SavedPrompts
 
-UNKNOWN_STORE_TOKENS = 1_000_000
-"""Room of a store that tells none; a guess, of the order of stores that do."""
+DEFAULT_STORE_TOKENS = 1_000_000
+"""Assumed capacity of a store whose configuration does not specify one."""
 
-REREAD_MEMORY_SECONDS = 10.0
-"""A part that has not been used for this long may be read anew at no cost but the reading."""
+RECENT_USE_SECONDS = 10.0
+"""A shared part that was not used for this long is recomputed without the extra cost."""
 
 MAX_USED_PARTS = 50_000
 
 
-class KeptPrompt(NamedTuple):
-    """A prompt that a worker has read, for a dispatcher that does not know it."""
+class CachedPrompt(NamedTuple):
+    """A prompt that a worker has computed, reported to a dispatcher without a record of it."""
 
     worker: Incarnation
     chain: Chain
 
 
-class FleetMemory:
-    """Parts of prompts by worker and store, which of them are being read, and their last use."""
+class FleetCacheIndex:
+    """Cached prompt parts by worker and store, parts being computed, and times of last use."""
 
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
-        self._workers: dict[Incarnation, WorkerHoldings] = {}
-        self._reading: defaultdict[Incarnation, Counter[int]] = defaultdict(Counter)
-        self._stores: dict[str, WorkerHoldings] = {}
+        self._workers: dict[Incarnation, CachedParts] = {}
+        self._computing: defaultdict[Incarnation, Counter[int]] = defaultdict(Counter)
+        self._stores: dict[str, CachedParts] = {}
         self._saved = SavedPrompts()
         self._used_at: OrderedDict[int, float] = OrderedDict()
 
     def forget(self, worker_id: Incarnation) -> None:
-        """A worker is gone."""
+        """Delete the records of a departed worker."""
         self._workers.pop(worker_id, None)
-        self._reading.pop(worker_id, None)
+        self._computing.pop(worker_id, None)
 
-    # Workers
-
-    def _holding(self, worker_id: Incarnation, engine: EngineProfile) -> WorkerHoldings:
-        found = self._workers.get(worker_id)
-        if found is None:
-            found = self._workers[worker_id] = WorkerHoldings(engine.cache_tokens)
-        return found
+    def _worker_parts(self, worker_id: Incarnation, engine: EngineProfile) -> CachedParts:
+        parts = self._workers.get(worker_id)
+        if parts is None:
+            parts = self._workers[worker_id] = CachedParts(engine.cache_tokens)
+        return parts
 
     def cached_tokens(self, worker_id: Incarnation, engine: EngineProfile, chain: Chain) -> int:
-        """Return how many tokens from the beginning a worker keeps or reads just now."""
-        return self._holding(worker_id, engine).cached_tokens(chain)
+        """Return the length of the prefix that a worker has cached or is computing."""
+        return self._worker_parts(worker_id, engine).cached_tokens(chain)
 
-    def readable_tokens(self, worker_id: Incarnation, engine: EngineProfile, shared: Chain) -> int:
-        """Return how many tokens from the beginning others can fetch from a worker now."""
-        holding, reading = self._holding(worker_id, engine), self._reading.get(worker_id)
+    def fetchable_tokens(self, worker_id: Incarnation, engine: EngineProfile, shared: Chain) -> int:
+        """Return the length of the prefix that other workers can fetch from a worker now."""
+        parts, computing = self._worker_parts(worker_id, engine), self._computing.get(worker_id)
         total = 0
         for key, tokens in shared:
-            if key not in holding or (reading and reading.get(key)):
+            if key not in parts or (computing and computing.get(key)):
                 break
             total += tokens
         return total
 
-    def unread_keys(
+    def uncached_keys(
         self, worker_id: Incarnation, engine: EngineProfile, chain: Chain
     ) -> tuple[int, ...]:
-        """Return the keys of the parts that a worker does not keep."""
-        holding = self._holding(worker_id, engine)
-        return tuple(key for key, _ in chain if key not in holding)
+        """Return the keys of the parts that a worker neither has cached nor is computing."""
+        parts = self._worker_parts(worker_id, engine)
+        return tuple(key for key, _ in chain if key not in parts)
 
-    def learn(self, kept: KeptPrompt, engine: EngineProfile) -> None:
-        """A worker has read a prompt, as another dispatcher knew."""
-        self._holding(kept.worker, engine).record(kept.chain)
+    def record_prompt(self, prompt: CachedPrompt, engine: EngineProfile) -> None:
+        """Record a prompt that a worker computed under another dispatcher."""
+        self._worker_parts(prompt.worker, engine).record(prompt.chain)
 
     def begin(self, placement: Placement, engine: EngineProfile) -> None:
-        """A worker begins to read a prompt, and will keep it."""
+        """Record that a worker starts to compute a prompt."""
         worker_id = placement.worker.info.id
-        self._holding(worker_id, engine).record(placement.chain)
-        self._reading[worker_id].update(placement.unread_keys)
-        self._note_used(placement.chain[:-1])
+        self._worker_parts(worker_id, engine).record(placement.chain)
+        self._computing[worker_id].update(placement.uncached_keys)
+        self._record_use(placement.chain[:-1])
 
     def finish(self, placement: Placement, engine: EngineProfile) -> None:
-        """A worker has read a prompt."""
-        self._end_reading(placement)
-        self._holding(placement.worker.info.id, engine).record(placement.chain)
+        """Record that a worker has computed a prompt."""
+        self._end_computing(placement)
+        self._worker_parts(placement.worker.info.id, engine).record(placement.chain)
 
     def abandon(self, placement: Placement) -> None:
-        """A worker did not read a prompt after all; what nobody else has it read is not kept."""
+        """Record that a worker did not compute a prompt.
+
+        Parts that another request is computing there stay recorded.
+        """
         worker_id = placement.worker.info.id
-        self._end_reading(placement)
-        holding, reading = self._workers.get(worker_id), self._reading[worker_id]
-        if holding is not None:
-            holding.discard(key for key in placement.unread_keys if not reading.get(key))
-
-    def _end_reading(self, placement: Placement) -> None:
-        reading = self._reading[placement.worker.info.id]
-        for key in placement.unread_keys:
-            reading[key] -= 1
-            if reading[key] <= 0:
-                del reading[key]
-
-    # Use
-
-    def recent(self, shared: Chain) -> list[tuple[int, int]]:
-        """Return the first and last token of each shared part that was used of late."""
-        used_since = self._clock() - REREAD_MEMORY_SECONDS
-        recent, start = [], 0
+        self._end_computing(placement)
+        parts, computing = self._workers.get(worker_id), self._computing[worker_id]
+        if parts is not None:
+            parts.discard(key for key in placement.uncached_keys if not computing.get(key))
+
+    def _end_computing(self, placement: Placement) -> None:
+        computing = self._computing[placement.worker.info.id]
+        for key in placement.uncached_keys:
+            computing[key] -= 1
+            if computing[key] <= 0:
+                del computing[key]
+
+    def recently_used_ranges(self, shared: Chain) -> list[tuple[int, int]]:
+        """Return first token and end of each shared part that was recently used."""
+        used_since = self._clock() - RECENT_USE_SECONDS
+        ranges, start = [], 0
         for key, tokens in shared:
             if self._used_at.get(key, float("-inf")) >= used_since:
-                recent.append((start, start + tokens))
+                ranges.append((start, start + tokens))
             start += tokens
-        return recent
+        return ranges
 
-    def _note_used(self, shared: Chain) -> None:
+    def _record_use(self, shared: Chain) -> None:
         now = self._clock()
         for key, _ in shared:
             self._used_at.pop(key, None)
@@ -125,29 +124,27 @@
         while len(self._used_at) > MAX_USED_PARTS:
             self._used_at.popitem(last=False)
 
-    # Stores
-
-    def _store_holding(self, store: CacheStore) -> WorkerHoldings:
+    def _store_parts(self, store: CacheStore) -> CachedParts:
         if store.address not in self._stores:
-            room = store.cache_tokens or UNKNOWN_STORE_TOKENS
-            self._stores[store.address] = WorkerHoldings(room)
+            capacity_tokens = store.cache_tokens or DEFAULT_STORE_TOKENS
+            self._stores[store.address] = CachedParts(capacity_tokens)
         return self._stores[store.address]
 
     def stored_tokens(self, store: CacheStore, shared: Chain) -> int:
-        """Return how many tokens from the beginning a store keeps."""
-        return self._store_holding(store).cached_tokens(shared)
+        """Return the length of the prefix that a store has cached."""
+        return self._store_parts(store).cached_tokens(shared)
 
     def is_saved(self, store: CacheStore, chain: Chain) -> bool:
-        """Whether a prompt need not be saved to a store."""
+        """Return whether a prompt need not be saved to a store again."""
         key = chain[-2][0] if len(chain) > 1 else chain[-1][0]
-        # Stores restart without a word, so what was saved long ago is saved again.
-        return self._saved.has(key, self._clock()) and key in self._store_holding(store)
+        # A store may restart unnoticed and lose its content, so the record of a save expires.
+        return self._saved.has(key, self._clock()) and key in self._store_parts(store)
 
-    def note_fetched(self, store: CacheStore, shared: Chain) -> None:
-        """A worker fetches shared parts from a store."""
-        self._store_holding(store).record(shared)
+    def record_fetch(self, store: CacheStore, shared: Chain) -> None:
+        """Record that a worker fetches shared parts from a store."""
+        self._store_parts(store).record(shared)
 
-    def note_saved(self, store: CacheStore, placement: Placement) -> None:
-        """A worker saves a prompt to a store."""
-        self._saved.note(placement.shared_key, self._clock())
-        self._store_holding(store).record(placement.chain)
+    def record_save(self, store: CacheStore, placement: Placement) -> None:
+        """Record that a worker saves a prompt to a store."""
+        self._saved.record(placement.shared_key, self._clock())
+        self._store_parts(store).record(placement.chain)
--- a/src/wheelslip/routing/holdings.py
+++ b/src/wheelslip/routing/holdings.py
@@ -1,6 +1,7 @@
-"""What each worker is believed to keep of prompts, from the requests that were placed.
+"""Estimate of the prompt parts cached at a worker or store, from the requests sent there.
 
-A hint only: salts and preconditions at the worker decide what may be used.
+The estimate may be wrong: the worker itself decides by salt and precondition which cached parts
+it uses.
 """
 
 from collections import OrderedDict
@@ -9,11 +10,11 @@
 import xxhash
 
 Chain = tuple[tuple[int, int], ...]
-"""Parts of a prompt in order: (key over all parts so far, tokens of this part)."""
+"""Parts of a prompt in order: (hash over all parts up to this one, tokens of this part)."""
 
 
 def chain_of(salt: str, parts: tuple[tuple[str, int], ...]) -> Chain:
-    """Return the chain of a prompt under a salt; its keys are the same at all nodes.
+    """Return the hash chain of a prompt under a salt; its keys are the same at all nodes.
 
     :param parts: id and tokens of each part, in order.
     """
@@ -25,8 +26,11 @@
     return tuple(chain)
 
 
-class WorkerHoldings:
-    """Least recently used parts of one worker, within its memory."""
+class CachedParts:
+    """Prompt parts in one cache, evicted in least recently used order.
+
+    :param capacity_tokens: capacity of the cache.
+    """
 
     def __init__(self, capacity_tokens: int):
         self._capacity = capacity_tokens
@@ -34,7 +38,7 @@
         self._tokens = 0
 
     def record(self, chain: Chain) -> None:
-        """The worker has just read these parts; the last are the first to give way."""
+        """Record the parts as just used; the last parts are evicted first."""
         for key, tokens in reversed(chain):
             self._tokens += tokens - self._parts.pop(key, 0)
             self._parts[key] = tokens
@@ -46,12 +50,12 @@
         return key in self._parts
 
     def discard(self, keys: Iterable[int]) -> None:
-        """The worker has not read these parts after all."""
+        """Remove parts that were not computed after all."""
         for key in keys:
             self._tokens -= self._parts.pop(key, 0)
 
     def cached_tokens(self, chain: Chain) -> int:
-        """Return how many tokens from the beginning are believed kept."""
+        """Return the length in tokens of the prefix that is estimated to be cached."""
         total = 0
         for key, tokens in chain:
             if key not in self._parts:
--- a/src/wheelslip/routing/load_table.py
+++ b/src/wheelslip/routing/load_table.py
@@ -1,8 +1,8 @@
-"""What other nodes tell: loads at each worker, and saved prompts. Pure state, no sockets.
+"""Loads of workers and saved prompts as reported by other nodes. Pure state, no I/O.
 
-Each node tells the relay of its zone with every poll, the relays tell each other the sums of
-their zones, and each answer to a poll tells the sum of all others. What was told is believed
-only while fresh; nothing but the choice of a worker rests on it.
+Each node reports its loads to the relay of its zone with every poll. The relays send each other
+the totals of their zones, and each poll response contains the total over all other nodes. Reports
+expire, and only the selection of a worker depends on them.
 """
 
 from collections import defaultdict
@@ -12,35 +12,36 @@
 from wheelslip.deployment import Incarnation
 from wheelslip.routing.saved_prompts import SavedPrompts
 
-FRESH_SECONDS = 1.2
-"""Time for which told loads count."""
+REPORT_TTL_SECONDS = 1.2
+"""Time after which a load report expires."""
 
 MAX_SOURCES = 1024
 
-SUMS_SECONDS = 0.05
-"""Sums over all sources are kept this long while nothing new is told."""
+TOTALS_TTL_SECONDS = 0.05
+"""Time for which cached totals over all sources are used unless a new report arrives."""
 
 
 class LoadAtWorker(NamedTuple):
-    """Requests of some nodes at one worker.
+    """Load of one worker by the requests of one or more nodes.
 
-    :ivar prompt_tokens: still to be read of requests without a first token.
-    :ivar held_tokens: of KV cache that the requests need until they end.
+    :ivar running: number of requests at the worker.
+    :ivar prefill_tokens: prompt tokens still to be computed, of requests without a first token.
+    :ivar held_tokens: KV cache tokens that the requests need until they end.
     """
 
     worker: Incarnation
     running: int
-    prompt_tokens: int
+    prefill_tokens: int
     held_tokens: int = 0
 
 
 class ZoneLoads(NamedTuple):
-    """Part of the sum of one zone, from its relay to the other relays.
+    """Part of the total of one zone, sent by its relay to the other relays.
 
-    :ivar part: which part; each datagram carries one.
-    :ivar incarnation: random at each start of the relay.
-    :ivar sequence: rises with each telling of an incarnation.
-    :ivar saved: keys of prompts that were saved of late, in the first part.
+    :ivar part: number of the part; each datagram carries one.
+    :ivar incarnation: random number drawn at each start of the relay.
+    :ivar sequence: increases with each report of an incarnation.
+    :ivar saved: keys of recently saved prompts, in the first part.
     """
 
     zone: str
@@ -51,85 +52,102 @@
     saved: list[int] = []
 
 
-class _Told(NamedTuple):
-    fresh_until: float
+class _Report(NamedTuple):
+    expires_at: float
     loads: list[LoadAtWorker]
     incarnation: int = 0
     sequence: int = 0
 
 
 class LoadTable:
-    """The newest loads that each source told.
+    """The latest loads reported by each source.
 
     :ivar saved: prompts that this node and others have saved.
     """
 
     def __init__(self):
         self.saved = SavedPrompts()
-        self._told: dict[str, _Told] = {}
-        self._zones: dict[str, _Told] = {}
-        self._sums: dict[Incarnation, LoadAtWorker] = {}
-        self._sums_until = float("-inf")
-
-    def take(self, source: str, loads: list[LoadAtWorker], now: float) -> None:
-        """Take what a node of the own zone told, or the relay."""
-        self._put(self._told, source, _Told(now + FRESH_SECONDS, loads))
-
-    def take_zone(self, news: ZoneLoads, now: float) -> None:
-        """Take a part of another zone's sum; older ones than known are passed over."""
-        self.saved.learn(news.saved, now)
-        source = f"{news.zone}/{news.part}"
-        known = self._zones.get(source)
-        same_relay = known is not None and known.incarnation == news.incarnation
-        if same_relay and news.sequence <= known.sequence:
+        self._reports: dict[str, _Report] = {}
+        self._zone_reports: dict[str, _Report] = {}
+        self._totals: dict[Incarnation, LoadAtWorker] = {}
+        self._totals_expire_at = float("-inf")
+
+    def record_loads(self, source: str, loads: list[LoadAtWorker], now: float) -> None:
+        """Record a report of the relay or of a node of the own zone."""
+        self._put(self._reports, source, _Report(now + REPORT_TTL_SECONDS, loads))
+
+    def record_zone_loads(self, report: ZoneLoads, now: float) -> None:
+        """Record a part of another zone's total; reports that arrive out of order are ignored."""
+        self.saved.merge(report.saved, now)
+        source = f"{report.zone}/{report.part}"
+        previous = self._zone_reports.get(source)
+        same_relay = previous is not None and previous.incarnation == report.incarnation
+        if same_relay and report.sequence <= previous.sequence:
             return
-        fresh_until = now + FRESH_SECONDS
-        told = _Told(fresh_until, news.loads, news.incarnation, news.sequence)
-        self._put(self._zones, source, told)
-
-    def _put(self, told: dict[str, _Told], source: str, news: _Told) -> None:
-        if source in told or len(told) < MAX_SOURCES:
-            told[source] = news
-            self._sums_until = float("-inf")
-
-    def forget_old(self, now: float) -> None:
-        """Drop what is not fresh any more."""
-        self._told = {key: one for key, one in self._told.items() if now < one.fresh_until}
-        self._zones = {key: one for key, one in self._zones.items() if now < one.fresh_until}
-
-    def own_zone(self, now: float, own: list[LoadAtWorker]) -> list[LoadAtWorker]:
-        """Return the sum of this node's loads and those of its zone."""
-        return _sum([own, *_fresh(self._told, now)])
-
-    def others(self, now: float, own: list[LoadAtWorker], asker: str) -> list[LoadAtWorker]:
-        """Return the sum of all nodes but the one that asks."""
-        return _sum([own, *_fresh(self._told, now, asker), *_fresh(self._zones, now)])
+        expires_at = now + REPORT_TTL_SECONDS
+        entry = _Report(expires_at, report.loads, report.incarnation, report.sequence)
+        self._put(self._zone_reports, source, entry)
+
+    def _put(self, reports: dict[str, _Report], source: str, report: _Report) -> None:
+        if source in reports or len(reports) < MAX_SOURCES:
+            reports[source] = report
+            self._totals_expire_at = float("-inf")
+
+    def drop_expired(self, now: float) -> None:
+        """Delete expired reports."""
+        self._reports = {
+            source: report for source, report in self._reports.items() if now < report.expires_at
+        }
+        self._zone_reports = {
+            source: report
+            for source, report in self._zone_reports.items()
+            if now < report.expires_at
+        }
+
+    def zone_total(self, now: float, own: list[LoadAtWorker]) -> list[LoadAtWorker]:
+        """Return the total of this node's loads and those of its zone."""
+        return _total([own, *_unexpired(self._reports, now)])
+
+    def total_without(
+        self, now: float, own: list[LoadAtWorker], excluded: str
+    ) -> list[LoadAtWorker]:
+        """Return the total over all nodes except one.
+
+        :param excluded: source name of that node.
+        """
+        return _total(
+            [own, *_unexpired(self._reports, now, excluded), *_unexpired(self._zone_reports, now)]
+        )
 
     def at_worker(self, worker: Incarnation, now: float) -> LoadAtWorker:
-        """Return what all other nodes have at a worker."""
-        if now >= self._sums_until:
-            told = [*_fresh(self._told, now), *_fresh(self._zones, now)]
-            self._sums = {one.worker: one for one in _sum(told)}
-            self._sums_until = now + SUMS_SECONDS
-        return self._sums.get(worker) or LoadAtWorker(worker, 0, 0)
+        """Return the load of a worker by the requests of all other nodes."""
+        if now >= self._totals_expire_at:
+            reports = [*_unexpired(self._reports, now), *_unexpired(self._zone_reports, now)]
+            self._totals = {load.worker: load for load in _total(reports)}
+            self._totals_expire_at = now + TOTALS_TTL_SECONDS
+        return self._totals.get(worker) or LoadAtWorker(worker, 0, 0)
 
 
-def _fresh(
-    told: dict[str, _Told], now: float, without: str | None = None
+def _unexpired(
+    reports: dict[str, _Report], now: float, excluded: str | None = None
 ) -> list[list[LoadAtWorker]]:
-    return [one.loads for key, one in told.items() if now < one.fresh_until and key != without]
+    return [
+        report.loads
+        for source, report in reports.items()
+        if now < report.expires_at and source != excluded
+    ]
 
 
-def _sum(told: Iterable[list[LoadAtWorker]]) -> list[LoadAtWorker]:
+def _total(reports: Iterable[list[LoadAtWorker]]) -> list[LoadAtWorker]:
     running: defaultdict[Incarnation, int] = defaultdict(int)
-    prompt_tokens: defaultdict[Incarnation, int] = defaultdict(int)
+    prefill_tokens: defaultdict[Incarnation, int] = defaultdict(int)
     held_tokens: defaultdict[Incarnation, int] = defaultdict(int)
-    for loads in told:
-        for one in loads:
-            running[one.worker] += one.running
-            prompt_tokens[one.worker] += one.prompt_tokens
-            held_tokens[one.worker] += one.held_tokens
+    for loads in reports:
+        for load in loads:
+            running[load.worker] += load.running
+            prefill_tokens[load.worker] += load.prefill_tokens
+            held_tokens[load.worker] += load.held_tokens
     return [
-        LoadAtWorker(key, count, prompt_tokens[key], held_tokens[key])
-        for key, count in running.items()
+        LoadAtWorker(worker, count, prefill_tokens[worker], held_tokens[worker])
+        for worker, count in running.items()
     ]
--- a/src/wheelslip/routing/offers.py
+++ b/src/wheelslip/routing/offers.py
@@ -1,59 +1,60 @@
-"""What a choice for all nodes weighs: who keeps a prompt, and what each worker would cost."""
+"""Estimates used by the fleet-wide selection: where a prompt is cached, and each worker's cost."""
 
 from typing import NamedTuple
 
 from wheelslip.deployment import CacheStore, EngineProfile, Worker
-from wheelslip.routing.cache_moves import MoveEnd
+from wheelslip.routing.cache_moves import TransferEndpoint
 from wheelslip.routing.holdings import Chain
 
 
-class Keeper(NamedTuple):
-    """A worker or store that keeps a part of a prompt, and how many tokens of it."""
+class CacheHolder(NamedTuple):
+    """A worker or store that has the first ``tokens`` tokens of a prompt cached."""
 
     tokens: int
-    end: MoveEnd
+    endpoint: TransferEndpoint
 
 
-class PromptHoldings(NamedTuple):
-    """A prompt at workers of one version of the weights.
+class PromptCacheState(NamedTuple):
+    """Where a prompt is cached, for one version of the weights.
 
-    :ivar cached: tokens from the beginning that each worker keeps or reads just now.
-    :ivar source: from where the shared parts may be fetched; ``None`` from nowhere.
-    :ivar source_tokens: how many tokens from the beginning the source has.
-    :ivar recent: first and last token of each shared part that was used of late.
+    :ivar cached_tokens: length of the prefix that each worker has cached or is computing.
+    :ivar source: from where the shared parts can be fetched; ``None`` without a source.
+    :ivar source_tokens: length of the prefix that the source has cached.
+    :ivar recent_ranges: first token and end of each recently used shared part.
     """
 
     chain: Chain
-    cached: dict[str, int]
-    source: MoveEnd | None
+    cached_tokens: dict[str, int]
+    source: TransferEndpoint | None
     source_tokens: int
-    recent: list[tuple[int, int]]
+    recent_ranges: list[tuple[int, int]]
 
-    def reread_tokens(self, first: int) -> int:
-        """Return how many tokens are read again by who reads from a token on."""
-        return sum(max(0, end - max(first, start)) for start, end in self.recent)
+    def recomputed_tokens(self, first: int) -> int:
+        """Return how many recently used tokens a prefill that starts at a token recomputes."""
+        return sum(max(0, end - max(first, start)) for start, end in self.recent_ranges)
 
 
-class Offer(NamedTuple):
-    """What a worker would cost a request.
+class WorkerEstimate(NamedTuple):
+    """Estimated cost of a request at a worker.
 
-    :ivar wait_seconds: until the worker turns to the request.
-    :ivar read_seconds: for fetching and reading its prompt then.
+    :ivar cost: in seconds.
+    :ivar wait_seconds: time until the worker starts the request.
+    :ivar prefill_seconds: time to fetch and compute the prompt after that.
     """
 
     cost: float
     worker: Worker
-    read_tokens: int
+    prefill_tokens: int
     fetched_tokens: int
     wait_seconds: float
-    read_seconds: float
+    prefill_seconds: float
 
 
-def end_of_store(store: CacheStore) -> MoveEnd:
-    """Return a store as an end of moves."""
-    return MoveEnd(store.address, store.zone, store.link_bytes_per_second)
+def store_endpoint(store: CacheStore) -> TransferEndpoint:
+    """Return the transfer endpoint of a store."""
+    return TransferEndpoint(store.address, store.zone, store.link_bytes_per_second)
 
 
-def end_of(worker: Worker, engine: EngineProfile) -> MoveEnd:
-    """Return a worker as an end of moves."""
-    return MoveEnd(worker.info.address, worker.info.zone, engine.link_bytes_per_second)
+def worker_endpoint(worker: Worker, engine: EngineProfile) -> TransferEndpoint:
+    """Return the transfer endpoint of a worker."""
+    return TransferEndpoint(worker.info.address, worker.info.zone, engine.link_bytes_per_second)
--- a/src/wheelslip/routing/prefills.py
+++ b/src/wheelslip/routing/prefills.py
@@ -1,4 +1,4 @@
-"""Prompts being computed now, which requests with the same prefix may wait for."""
+"""Prefills in progress, which requests with the same prefix may wait for."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -6,10 +6,11 @@
 
 @dataclass
 class Prefill:
-    """A prompt being computed.
+    """A prompt that an engine is computing.
 
-    :param elsewhere: its registry head, when another node sent it: then only its home's word
-        tells when it is done.
+    :ivar keys: prefix keys of the prompt.
+    :ivar remote_head: registry head of the prompt if another node sent it, else ``None``. Only
+        the head's home node reports the end of such a prefill.
     """
 
     engine: str
@@ -17,10 +18,13 @@
     started_at: float
     expected_end: float
     uncached_tokens: int = 0
-    elsewhere: int | None = None
+    remote_head: int | None = None
 
     def shared_blocks(self, keys: tuple[int, ...]) -> int:
-        """Return the length of the common prefix; chains agree up to a point, then never."""
+        """Return the length of the common prefix, in blocks.
+
+        A key covers all blocks up to its own, so a binary search finds the first difference.
+        """
         low, high = 0, min(len(self.keys), len(keys))
         while low < high:
             middle = (low + high + 1) // 2
@@ -31,8 +35,8 @@
         return low
 
 
-class PrefillBoard:
-    """The prompts being computed, by the request or the head that they belong to."""
+class ActivePrefills:
+    """Prefills in progress by name: the request id, or engine and head for remote ones."""
 
     def __init__(self):
         self._prefills: dict[str, Prefill] = {}
@@ -41,25 +45,25 @@
         return iter(self._prefills.items())
 
     def add(self, name: str, prefill: Prefill) -> None:
-        """Add a prompt, or replace what is known of it."""
+        """Add or replace a prefill."""
         self._prefills[name] = prefill
 
     def remove(self, name: str) -> Prefill | None:
-        """Take a prompt out; ``None`` when it is not there."""
+        """Remove and return a prefill; ``None`` when there is none."""
         return self._prefills.pop(name, None)
 
     def remove_engine(self, engine: str) -> None:
-        """Take out all that an engine computes."""
+        """Remove all prefills of an engine."""
         for name, prefill in list(self._prefills.items()):
             if prefill.engine == engine:
                 del self._prefills[name]
 
-    def remove_due_elsewhere(self, now: float) -> list[int]:
-        """Take out other nodes' prompts whose time has come and return their heads."""
+    def remove_due_remote(self, now: float) -> list[int]:
+        """Remove the remote prefills whose expected end has passed and return their heads."""
         due = [
-            (name, prefill.elsewhere)
+            (name, prefill.remote_head)
             for name, prefill in self._prefills.items()
-            if prefill.elsewhere is not None and now >= prefill.expected_end
+            if prefill.remote_head is not None and now >= prefill.expected_end
         ]
         for name, _ in due:
             del self._prefills[name]
--- a/src/wheelslip/routing/saved_prompts.py
+++ b/src/wheelslip/routing/saved_prompts.py
@@ -1,58 +1,58 @@
-"""Which shared prompts the stores of kept KV cache have, as nodes tell each other.
+"""Shared prompts that are saved to cache stores, as exchanged between nodes.
 
-A store holds a few seconds of all that workers read. If every request saved its prompt, the
-parts that belong to single requests would push the shared ones out, and its link would carry
-little else. So a prompt is saved by the first request that reads it, and not again while that
-is believed. A hint only: what is not there is read again.
+A store holds only a few seconds' worth of the computed prompts. If every request saved its prompt,
+parts used by a single request would evict the shared ones and fill the link of the store. So the
+first request that computes a prompt saves it, and no other does until the record expires. A stale
+record only costs a recomputation.
 """
 
 from collections import OrderedDict
 
-SAVED_SECONDS = 15.0
-"""A saved prompt is believed kept this long; then one request saves it again."""
+SAVED_TTL_SECONDS = 15.0
+"""Time after which a saved prompt is saved again by the next request."""
 
-TELL_SECONDS = 0.8
-"""A node tells what it has learned for this long, longer than the pause between polls, so
-that a lost message or a new relay costs nothing."""
+ANNOUNCE_SECONDS = 0.8
+"""A node reports a new record for this long, which exceeds the interval between polls, so that
+records survive a lost message or a change of relay."""
 
-MAX_TOLD = 128
-"""Most prompts in one message."""
+MAX_ANNOUNCED = 128
+"""Maximum number of prompts in one message."""
 
-MAX_KNOWN = 20_000
+MAX_PROMPTS = 20_000
 
 
 class SavedPrompts:
     """Saved prompts by the key of their last shared part, oldest first."""
 
     def __init__(self):
-        self._until: OrderedDict[int, float] = OrderedDict()
+        self._expires_at: OrderedDict[int, float] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._until)
+        return len(self._expires_at)
 
     def has(self, key: int, now: float) -> bool:
-        """Whether a prompt is believed saved."""
-        return self._until.get(key, now) > now
-
-    def note(self, key: int, now: float) -> None:
-        """A prompt has been saved just now."""
-        self._until.pop(key, None)
-        self._until[key] = now + SAVED_SECONDS
-        while len(self._until) > MAX_KNOWN:
-            self._until.popitem(last=False)
-
-    def learn(self, keys: list[int], now: float) -> None:
-        """Take what another node tells; what is known already is not told on again."""
+        """Return whether there is an unexpired record of a prompt."""
+        return self._expires_at.get(key, now) > now
+
+    def record(self, key: int, now: float) -> None:
+        """Record a prompt that has just been saved."""
+        self._expires_at.pop(key, None)
+        self._expires_at[key] = now + SAVED_TTL_SECONDS
+        while len(self._expires_at) > MAX_PROMPTS:
+            self._expires_at.popitem(last=False)
+
+    def merge(self, keys: list[int], now: float) -> None:
+        """Add records reported by another node; existing ones are not renewed or reported again."""
         for key in keys:
             if not self.has(key, now):
-                self.note(key, now)
-
-    def news(self, now: float) -> list[int]:
-        """Return what was learned of late, for other nodes."""
-        learned_since = now + SAVED_SECONDS - TELL_SECONDS
-        told = []
-        for key in reversed(self._until):
-            if self._until[key] < learned_since or len(told) == MAX_TOLD:
+                self.record(key, now)
+
+    def recent(self, now: float) -> list[int]:
+        """Return the newest records, to be reported to other nodes."""
+        recorded_since = now + SAVED_TTL_SECONDS - ANNOUNCE_SECONDS
+        keys = []
+        for key in reversed(self._expires_at):
+            if self._expires_at[key] < recorded_since or len(keys) == MAX_ANNOUNCED:
                 break
-            told.append(key)
-        return told
+            keys.append(key)
+        return keys
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -1,12 +1,12 @@
-"""Choice of the worker for one request, from loads, holdings and the registry view.
+"""Selection of a worker for one request by a single node.
 
-Cost of a worker, in seconds until the first token::
+The cost of a worker is an estimate of the seconds until the first token::
 
-    prompt tokens under way / prefill rate + running * cost of a step
-    + tokens to read / prefill rate + tokens to move / link rate
+    pending prefill tokens / prefill rate + running requests * cost of a step
+    + tokens to compute / prefill rate + tokens to transfer / link rate
 
-Nodes agree on a home for each shared prompt by rendezvous hashing, so that a home is likely
-to keep it although this node did not send it there.
+Rendezvous hashing assigns each shared prompt part a home worker. All nodes compute the same
+home, so it is likely to have the part cached even if this node never sent the part there.
 """
 
 import math
@@ -24,73 +24,73 @@
 from wheelslip.routing.worker_records import WorkerRecords
 
 PREFILL_TOKENS_PER_SECOND = 30_000.0
-"""First guess of how fast a worker reads a prompt; only the ratio of costs depends on it."""
+"""Assumed prefill rate of a worker."""
 
-LONG_PAUSE_SHARE = 0.125
-"""A prompt is long if reading it takes more than this share of the pause that a stream of
-its route may make."""
+LONG_PROMPT_PAUSE_SHARE = 0.125
+"""A prompt is long when its prefill exceeds this share of the longest pause that the route
+allows in a stream."""
 
-CANDIDATES = 8
-"""Workers drawn at random beside the home, of which the cheapest is taken (docs/PLATFORM.md)."""
+SAMPLED_WORKERS = 8
+"""Number of randomly drawn workers that are compared with the home."""
 
-OUTSIDE_SECONDS = 0.05
-"""Cost of a worker that is meant for requests of the other length."""
+OTHER_LENGTH_SECONDS = 0.05
+"""Cost of a worker that is set aside for requests of the other length."""
 
-INTERFERENCE = 0.05
-"""Part of the reading time of a prompt that each stream running beside it loses in worth."""
+PREFILL_INTERFERENCE = 0.05
+"""Extra cost of a prefill for each running stream, as a share of the prefill time."""
 
-RUNNING_SECONDS = 0.002
-"""Cost of each request this node has at a worker."""
+RUNNING_REQUEST_SECONDS = 0.002
+"""Cost of each request that runs at a worker: it lengthens every step there."""
 
-HOME_KEEPS_SHARE = 0.9
-"""Part of a shared prompt that its home is believed to keep from other nodes' requests."""
+HOME_CACHED_SHARE = 0.9
+"""Share of a shared prompt part that its home is assumed to have cached."""
 
-OLD_WEIGHTS_SECONDS = 0.1
-"""Cost of a worker whose weights have been replaced by newer ones."""
+OUTDATED_WEIGHTS_SECONDS = 0.1
+"""Cost of a worker for whose weights a newer version has been announced."""
 
 OTHER_ZONE_SECONDS = 0.003
 
 CONNECT_SECONDS = 0.005
-"""Cost of a worker to which a connection must be opened first."""
+"""Cost of a worker without an idle connection."""
 
-CONNECT_SHARE = 0.08
-"""The same at services without a model, in parts of a worker's capacity."""
+CONNECT_CAPACITY_SHARE = 0.08
+"""Cost of a worker without an idle connection at services without model engines, as a share of
+the worker's capacity."""
 
 BEGIN_MARGIN_SECONDS = 1.0
-"""Requests stop going to older weights this long before the bound, since a request may wait
-at its worker before it begins."""
+"""Requests stop going to outdated weights this long before the deadline, because a request may
+wait at its worker before it starts."""
 
 BEGIN_WAIT_FACTOR = 2.0
-"""The same, as a multiple of the longest wait seen at the worker lately."""
+"""The same margin as a multiple of the longest recent wait at the worker."""
 
-LEAST_MOVED_TOKENS = 600
-"""Shorter shared parts are read again rather than moved: reading takes some milliseconds, and
-a move waits behind those of long prompts, for up to two seconds."""
+MIN_TRANSFER_TOKENS = 600
+"""Shorter shared parts are recomputed, which is faster than a transfer that may wait for others."""
 
 FAILURE_COST_SECONDS = 1.0
 """Cost of a worker that fails all of its requests."""
 
 
 class DeploymentView(Protocol):
-    """What a choice reads of a node's view of its deployment."""
+    """The part of a node's view of its deployment that the selection depends on."""
 
     configuration: RoutingConfiguration | None
     workers: dict[Incarnation, Worker]
 
     def workers_of(self, service: str) -> list[Worker]:
-        """Return the workers of a service that take new requests."""
+        """Return the workers of a service that accept new requests."""
 
     def loading_now(self) -> frozenset[Incarnation]:
-        """Return the workers that load weights."""
+        """Return the workers that are loading weights."""
 
     def begins_until(self, model: str, version: int) -> float:
-        """Return until when a request may begin on a version; infinite for the newest."""
+        """Return the time until which requests may start on a version; infinite for the newest."""
 
 
 class WorkerPlacement(WorkerRecords):
-    """Chooses workers by what this node knows of each, and by what others told.
+    """Selects workers from this node's own records and the loads that other nodes report.
 
-    :param table: loads that other nodes told, and prompts that they have saved.
+    :param table: loads reported by other nodes, and prompts saved to cache stores.
     """
 
     def __init__(
@@ -100,36 +100,36 @@
         random_source: random.Random,
         table: LoadTable | None = None,
     ):
-        super().__init__(clock, self._is_there)
+        super().__init__(clock, self._is_registered)
         self._table = table or LoadTable()
         self._registry = registry
         self._random = random_source
         self._separation: dict[str, PromptSeparation] = {}
 
-    def _is_there(self, worker_id: Incarnation) -> bool:
+    def _is_registered(self, worker_id: Incarnation) -> bool:
         return worker_id in self._registry.workers
 
-    def all_loads(self, worker_id: Incarnation) -> LoadAtWorker:
-        """Return what all nodes have at a worker."""
+    def total_load(self, worker_id: Incarnation) -> LoadAtWorker:
+        """Return the load of a worker, summed over all nodes."""
         own = self.load(worker_id)
         others = self._table.at_worker(worker_id, self._clock())
         return LoadAtWorker(
             worker_id,
             own.running + others.running,
-            own.prompt_tokens + others.prompt_tokens,
+            own.prefill_tokens + others.prefill_tokens,
             own.held_tokens + others.held_tokens,
         )
 
     def choose(self, query: PlacementQuery) -> Placement | None:
         """Return the best worker now, or ``None`` when no worker may take the request."""
         candidates = [
-            one
-            for one in self._registry.workers_of(query.service)
-            if one.info.id not in query.excluded
+            worker
+            for worker in self._registry.workers_of(query.service)
+            if worker.info.id not in query.excluded
         ]
         engine = self._engine(query.service)
         if engine is None:
-            return self._choose_plain(query, candidates)
+            return self._choose_without_engine(query, candidates)
         candidates = self._eligible(query, candidates)
         if not candidates:
             return None
@@ -142,148 +142,161 @@
         return profile.engine if profile else None
 
     def worker(self, worker_id: Incarnation) -> Worker | None:
-        """Return a worker of this node's view."""
+        """Return a worker of this node's view, ``None`` when it is not registered."""
         return self._registry.workers.get(worker_id)
 
     def serves(self, worker_id: Incarnation, service: str) -> bool:
-        """Whether a worker of this node's view belongs to a service."""
+        """Return whether a worker of this node's view belongs to a service."""
         worker = self.worker(worker_id)
         return worker is not None and worker.info.service == service
 
     def accepts(self, worker: Worker, query: PlacementQuery) -> bool:
-        """Whether this node's own view allows a worker for a request just now."""
+        """Return whether a worker may take a request now according to this node's view."""
         if worker.info.id in query.excluded:
             return False
         if worker not in self._registry.workers_of(query.service):
             return False
         return not query.model or self._may_begin(worker, query.model)
 
-    def _choose_plain(self, query: PlacementQuery, candidates: list[Worker]) -> Placement | None:
-        candidates = self._without_suspects(candidates)
+    def _choose_without_engine(
+        self, query: PlacementQuery, candidates: list[Worker]
+    ) -> Placement | None:
+        candidates = self._prefer_reachable(candidates)
         if not candidates:
             return None
-        return Placement(min(candidates, key=lambda one: self._plain_cost(query, one)))
+        return Placement(min(candidates, key=lambda worker: self._load_cost(query, worker)))
 
-    def _plain_cost(self, query: PlacementQuery, worker: Worker) -> tuple[float, float]:
+    def _load_cost(self, query: PlacementQuery, worker: Worker) -> tuple[float, float]:
+        """Return the cost of a worker without a model engine, as a share of its capacity.
+
+        The second element breaks ties at random.
+        """
         load = self.load(worker.info.id)
-        running = self.all_loads(worker.info.id).running
+        running = self.total_load(worker.info.id).running
         share = (running + 1) / max(1, worker.info.capacity)
         other_zone = worker.info.zone != query.zone
-        cost = share + 2 * load.recent_failure(self._clock()) + 0.05 * other_zone
-        cost += CONNECT_SHARE * (worker.info.id not in query.connected)
+        cost = share + 2 * load.recent_failure_rate(self._clock()) + 0.05 * other_zone
+        cost += CONNECT_CAPACITY_SHARE * (worker.info.id not in query.connected)
         return cost, self._random.random()
 
-    def _without_suspects(self, candidates: list[Worker]) -> list[Worker]:
-        """Leave out workers not reached lately, unless there are no others."""
+    def _prefer_reachable(self, candidates: list[Worker]) -> list[Worker]:
+        """Leave out workers that were recently unreachable, unless there are no others."""
         now = self._clock()
-        sound = [one for one in candidates if not self.load(one.info.id).is_avoided(now)]
-        return sound or candidates
+        reachable = [
+            worker for worker in candidates if not self.load(worker.info.id).is_avoided(now)
+        ]
+        return reachable or candidates
 
     def _eligible(self, query: PlacementQuery, candidates: list[Worker]) -> list[Worker]:
-        """Return the workers that may begin a request of a model now."""
-        until = {
+        """Return the workers that may start a request for the model now."""
+        deadlines = {
             version: self._registry.begins_until(query.model, version or 0)
-            for version in {one.weights.get(query.model) for one in candidates}
+            for version in {worker.weights.get(query.model) for worker in candidates}
         }
         candidates = [
-            one
-            for one in candidates
-            if self._begins_before(until[one.weights.get(query.model)], one)
+            worker
+            for worker in candidates
+            if self._begins_before(deadlines[worker.weights.get(query.model)], worker)
         ]
         loading = self._registry.loading_now()
-        candidates = [one for one in candidates if one.info.id not in loading] or candidates
-        return self._without_suspects(candidates)
+        candidates = [
+            worker for worker in candidates if worker.info.id not in loading
+        ] or candidates
+        return self._prefer_reachable(candidates)
 
     def _choose_engine(
         self, query: PlacementQuery, candidates: list[Worker], engine: EngineProfile
     ) -> Placement:
         preferred = self._preferred(query, candidates)
         home = self._home(query, preferred)
-        considered = self._considered(candidates, home)
-        preferred_ids = {one.info.id for one in preferred}
+        sample = self._sample(candidates, home)
+        preferred_ids = {worker.info.id for worker in preferred}
 
         def cost(placement: Placement) -> float:
-            outside = placement.worker.info.id not in preferred_ids
-            replaced = self._is_replaced(query.model, placement.weights_version)
-            extra = self._extra_cost(query, placement.worker, outside, replaced)
+            other_length = placement.worker.info.id not in preferred_ids
+            outdated = self._is_outdated(query.model, placement.weights_version)
+            extra = self._extra_cost(query, placement.worker, other_length, outdated)
             return self._engine_cost(query, placement, engine, home) + extra
 
-        placements = [self._placement(query, one, home, engine) for one in considered]
+        placements = [self._estimated_placement(query, worker, home, engine) for worker in sample]
         best = min(placements, key=cost)
         return replace(best, cache=self._cache_plan(query, best, home, engine))
 
     def _extra_cost(
-        self, query: PlacementQuery, worker: Worker, outside: bool, replaced: bool
+        self, query: PlacementQuery, worker: Worker, other_length: bool, outdated: bool
     ) -> float:
-        """Return the cost of a worker that does not depend on what it has to do.
+        """Return the part of a worker's cost that does not depend on its load or on the prompt.
 
-        :param outside: it is meant for requests of the other length.
-        :param replaced: newer weights than its own have been named.
+        :param other_length: the worker is set aside for requests of the other length.
+        :param outdated: a newer version than that of the worker's weights has been announced.
         """
-        cost = OUTSIDE_SECONDS * outside + OLD_WEIGHTS_SECONDS * replaced
+        cost = OTHER_LENGTH_SECONDS * other_length + OUTDATED_WEIGHTS_SECONDS * outdated
         if worker.info.zone != query.zone:
             cost += OTHER_ZONE_SECONDS
         if worker.info.id not in query.connected:
             cost += CONNECT_SECONDS
-        failure = self.load(worker.info.id).recent_failure(self._clock())
-        return cost + FAILURE_COST_SECONDS * failure
+        failure_rate = self.load(worker.info.id).recent_failure_rate(self._clock())
+        return cost + FAILURE_COST_SECONDS * failure_rate
 
-    def _considered(self, candidates: list[Worker], home: Worker | None) -> list[Worker]:
-        """Return the home and a few others at random.
+    def _sample(self, candidates: list[Worker], home: Worker | None) -> list[Worker]:
+        """Return the home and a few random workers.
 
-        All nodes see the same loads, some time old: if each took the least loaded worker of
-        all, they would take the same one together.
+        All nodes see the same loads with a delay. If each node compared all workers, they would
+        all send to the same least loaded one.
         """
-        considered = self._random.sample(candidates, min(CANDIDATES, len(candidates)))
-        if home is not None and home not in considered:
-            considered.append(home)
-        return considered
+        sample = self._random.sample(candidates, min(SAMPLED_WORKERS, len(candidates)))
+        if home is not None and home not in sample:
+            sample.append(home)
+        return sample
 
     def _preferred(self, query: PlacementQuery, candidates: list[Worker]) -> list[Worker]:
-        """Return the workers that are meant for requests of this length."""
+        """Return the workers that are set aside for requests of this length."""
         separation = self._separation.setdefault(query.stream_group, PromptSeparation())
-        seconds = query.prompt_tokens / PREFILL_TOKENS_PER_SECOND
-        is_long = seconds > LONG_PAUSE_SHARE * query.pause_seconds
-        separation.note(seconds, is_long, self._clock())
-        # A stream of a short request lasts longest, and an order to load waits for it: begun on
-        # the newest weights, it holds no load up.
-        replaced = self._on_replaced_weights(query.model, candidates)
-        short = separation.short_workers([one.info.id for one in candidates], replaced)
+        prefill_seconds = query.prompt_tokens / PREFILL_TOKENS_PER_SECOND
+        is_long = prefill_seconds > LONG_PROMPT_PAUSE_SHARE * query.pause_seconds
+        separation.note(prefill_seconds, is_long, self._clock())
+        # Streams of short requests last longest and delay the loading of new weights at their
+        # worker, so short requests start on the newest weights.
+        outdated = self._with_outdated_weights(query.model, candidates)
+        short = separation.short_workers([worker.info.id for worker in candidates], outdated)
         if not short:
             return candidates
-        return [one for one in candidates if (one.info.id in short) != is_long]
-
-    def _on_replaced_weights(self, model: str, workers: list[Worker]) -> frozenset[Incarnation]:
-        """Return the workers for whose weights newer ones have been named."""
-        versions = {one.weights.get(model) for one in workers}
-        replaced = {one for one in versions if self._is_replaced(model, one)}
-        return frozenset(one.info.id for one in workers if one.weights.get(model) in replaced)
+        return [worker for worker in candidates if (worker.info.id in short) != is_long]
+
+    def _with_outdated_weights(self, model: str, workers: list[Worker]) -> frozenset[Incarnation]:
+        """Return the workers for whose weights a newer version has been announced."""
+        versions = {worker.weights.get(model) for worker in workers}
+        outdated = {version for version in versions if self._is_outdated(model, version)}
+        return frozenset(
+            worker.info.id for worker in workers if worker.weights.get(model) in outdated
+        )
 
     def _may_begin(self, worker: Worker, model: str) -> bool:
-        """Whether a request sent now begins before its weights are too old."""
+        """Return whether a request sent now starts before the deadline for the weights."""
         return self._begins_before(
             self._registry.begins_until(model, worker.weights.get(model, 0)), worker
         )
 
-    def _begins_before(self, until: float, worker: Worker) -> bool:
-        if until == math.inf:
+    def _begins_before(self, deadline: float, worker: Worker) -> bool:
+        if deadline == math.inf:
             return True
         now = self._clock()
         wait = self.load(worker.info.id).expected_wait(now)
-        return now + max(BEGIN_MARGIN_SECONDS, BEGIN_WAIT_FACTOR * wait) < until
+        return now + max(BEGIN_MARGIN_SECONDS, BEGIN_WAIT_FACTOR * wait) < deadline
 
-    def _is_replaced(self, model: str, version: int | None) -> bool:
-        """Whether newer weights than these have been named."""
+    def _is_outdated(self, model: str, version: int | None) -> bool:
+        """Return whether a newer version of the weights has been announced."""
         return self._registry.begins_until(model, version or 0) != math.inf
 
     def _home(self, query: PlacementQuery, candidates: list[Worker]) -> Worker | None:
+        """Return the rendezvous home of the shared prompt part, ``None`` without such a part."""
         shared = query.shared_part
         if shared is None:
             return None
-        by_id = {one.info.id: one for one in candidates}
+        by_id = {worker.info.id: worker for worker in candidates}
         return by_id[rendezvous.owner(shared.id, by_id)]
 
-    def _placement(
+    def _estimated_placement(
         self,
         query: PlacementQuery,
         worker: Worker,
@@ -293,17 +306,17 @@
         version = worker.weights.get(query.model)
         chain = query.chain(version)
         shared_tokens = sum(tokens for _, tokens in chain[:-1])
-        cached = self.holding(worker.info.id, engine).cached_tokens(chain)
+        cached = self.cached_parts(worker.info.id, engine).cached_tokens(chain)
         if worker is home:
-            cached = max(cached, int(HOME_KEEPS_SHARE * shared_tokens))
-        read = max(0, query.prompt_tokens - max(cached, shared_tokens))
+            cached = max(cached, int(HOME_CACHED_SHARE * shared_tokens))
+        prefill = max(0, query.prompt_tokens - max(cached, shared_tokens))
         held = query.prompt_tokens + query.output_tokens
-        return Placement(worker, version, chain, read, cached, held)
+        return Placement(worker, version, chain, prefill, cached, held)
 
-    def _keeps(self, worker: Worker, engine: EngineProfile, chain: Chain) -> bool:
-        """Whether a worker is known to keep all that is shared of a prompt."""
-        held = self.holding(worker.info.id, engine).cached_tokens(chain[:-1])
-        return held >= sum(tokens for _, tokens in chain[:-1])
+    def _has_shared_parts(self, worker: Worker, engine: EngineProfile, chain: Chain) -> bool:
+        """Return whether this node has recorded all shared parts of a prompt at a worker."""
+        cached = self.cached_parts(worker.info.id, engine).cached_tokens(chain[:-1])
+        return cached >= sum(tokens for _, tokens in chain[:-1])
 
     def _engine_cost(
         self,
@@ -313,31 +326,29 @@
         home: Worker | None,
     ) -> float:
         worker = placement.worker
-        moved = max(0, placement.shared_tokens - placement.cached_tokens)
-        there = self.all_loads(worker.info.id)
-        read_seconds = placement.read_tokens / PREFILL_TOKENS_PER_SECOND
-        cost = there.prompt_tokens / PREFILL_TOKENS_PER_SECOND + read_seconds
-        cost += there.running * (RUNNING_SECONDS + INTERFERENCE * read_seconds)
-        held = there.held_tokens + placement.held_tokens
-        cost += self._turn_seconds(there.running, held, engine)
-        cost += 2 * moved * engine.token_bytes / max(1.0, engine.link_bytes_per_second)
+        transferred = max(0, placement.shared_tokens - placement.cached_tokens)
+        load = self.total_load(worker.info.id)
+        prefill_seconds = placement.prefill_tokens / PREFILL_TOKENS_PER_SECOND
+        cost = load.prefill_tokens / PREFILL_TOKENS_PER_SECOND + prefill_seconds
+        cost += load.running * (RUNNING_REQUEST_SECONDS + PREFILL_INTERFERENCE * prefill_seconds)
+        held = load.held_tokens + placement.held_tokens
+        cost += self._slot_wait_seconds(load.running, held, engine)
+        cost += 2 * transferred * engine.token_bytes / max(1.0, engine.link_bytes_per_second)
         if worker is home:
             cost -= OTHER_ZONE_SECONDS
         return cost
 
-    def _turn_seconds(self, running: int, held_tokens: int, engine: EngineProfile) -> float:
+    def _slot_wait_seconds(self, running: int, held_tokens: int, engine: EngineProfile) -> float:
         """Return how long a request waits for a slot and for memory at a full worker.
 
-        What exceeds a worker's slots or memory waits until as much has ended, and in the
-        time that a request lasts all that runs there ends once.
+        Assumes that all running requests end within the mean duration of a request, so the wait
+        is that duration times the exceeded share of slots or memory.
 
-        :param held_tokens: of KV cache that all need, this request too.
+        :param held_tokens: KV cache tokens needed by all requests, including this one.
         """
         slots, memory = max(1, engine.capacity), max(1, engine.cache_tokens)
-        over = max((running + 1 - slots) / slots, (held_tokens - memory) / memory)
-        return over * self._request_seconds if over > 0.0 else 0.0
-
-    # Kept cache
+        excess = max((running + 1 - slots) / slots, (held_tokens - memory) / memory)
+        return excess * self._request_seconds if excess > 0.0 else 0.0
 
     def _cache_plan(
         self,
@@ -346,29 +357,32 @@
         home: Worker | None,
         engine: EngineProfile,
     ) -> CachePlan | None:
-        """Return where the worker fetches what it lacks, and where it saves the prompt."""
+        """Return where the worker fetches missing KV cache from and where it saves the prompt."""
         if not placement.chain:
             return None
         salt = query.salt(placement.weights_version)
-        if placement.shared_tokens < LEAST_MOVED_TOKENS:
+        if placement.shared_tokens < MIN_TRANSFER_TOKENS:
             return CachePlan(salt)
-        store = self._store_of(query)
+        store = self._store_address(query)
         other_home = home is not None and home is not placement.worker
-        home_keeps = other_home and self._keeps(home, engine, placement.chain)
-        fetch_from = home.info.address if other_home and (home_keeps or not store) else store
+        home_has_parts = other_home and self._has_shared_parts(home, engine, placement.chain)
+        fetch_from = home.info.address if other_home and (home_has_parts or not store) else store
         save_to = "" if self._table.saved.has(placement.shared_key, self._clock()) else store
         return CachePlan(salt, fetch_from, save_to)
 
-    def _store_of(self, query: PlacementQuery) -> str:
-        """Return the store that keeps this prompt; all nodes name the same one."""
+    def _store_address(self, query: PlacementQuery) -> str:
+        """Return the address of the cache store for this prompt, which is the same at all nodes.
+
+        Empty without a store.
+        """
         cfg = self._registry.configuration
         shared = query.shared_part
         if not cfg or not cfg.cache_stores or shared is None:
             return ""
-        return rendezvous.owner(shared.id, [one.address for one in cfg.cache_stores])
+        return rendezvous.owner(shared.id, [store.address for store in cfg.cache_stores])
 
     def first_token(self, placement: Placement, began_at: float) -> None:
-        """The worker has read the prompt, keeps it, and saves it if it was told to."""
+        """Record that a prefill has ended and that the prompt is saved if that was planned."""
         super().first_token(placement, began_at)
         if placement.cache is not None and placement.cache.save_to:
-            self._table.saved.note(placement.shared_key, self._clock())
+            self._table.saved.record(placement.shared_key, self._clock())
--- a/src/wheelslip/routing/worker_load.py
+++ b/src/wheelslip/routing/worker_load.py
@@ -1,55 +1,60 @@
-"""What one node has at a worker, and how it fared there."""
+"""Load and failure statistics of one worker, recorded from one node's requests."""
 
 import math
 from dataclasses import dataclass, field
 
 WAIT_MEMORY_SECONDS = 4.0
-"""Time constant in which long waits at a worker are forgotten."""
+"""Time constant with which the longest wait at a worker decays."""
 
 FAILURE_MEMORY_SECONDS = 2.0
-"""Time constant in which failures are forgotten, so that an avoided worker is tried again."""
+"""Time constant with which the failure rate decays, so that an avoided worker is tried again."""
 
 
 @dataclass
 class WorkerLoad:
-    """What this node has at a worker and how it fared there.
-
-    :ivar prompt_tokens: of requests without a first token yet.
-    :ivar held_tokens: of KV cache that the requests need until they end.
-    :ivar failure: share of failures, exponentially weighted.
-    :ivar on_trial: it was silent, and nothing has been heard of it since; one request at a
-        time finds out whether it is back.
-    :ivar waiting: when each request without a first token was sent.
+    """Load and failure statistics of one worker.
+
+    :ivar running: number of requests at the worker.
+    :ivar prefill_tokens: prompt tokens still to be computed, of requests without a first token.
+    :ivar held_tokens: KV cache tokens that the requests need until they end.
+    :ivar failure_rate: exponentially weighted share of failed requests.
+    :ivar needs_probe: the worker was unreachable and has not responded since; one request at a
+        time probes it.
+    :ivar waiting: send times of the requests without a first token.
     """
 
     running: int = 0
-    prompt_tokens: int = 0
+    prefill_tokens: int = 0
     held_tokens: int = 0
-    failure: float = 0.0
-    failure_at: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
     suspect_until: float = 0.0
-    on_trial: bool = False
+    needs_probe: bool = False
     longest_wait: float = 0.0
     longest_wait_at: float = 0.0
     waiting: set[float] = field(default_factory=set)
 
     def is_avoided(self, now: float) -> bool:
-        """Whether a request had better go elsewhere, since the worker was silent of late."""
-        return now < self.suspect_until or (self.on_trial and bool(self.waiting))
+        """Return whether requests should go elsewhere because the worker was unreachable."""
+        return now < self.suspect_until or (self.needs_probe and bool(self.waiting))
 
     def expected_wait(self, now: float) -> float:
-        """Return the longest wait for a first token, faded, or of a request still waiting."""
-        faded = self.longest_wait * math.exp((self.longest_wait_at - now) / WAIT_MEMORY_SECONDS)
-        return max(faded, now - min(self.waiting, default=now))
+        """Return the expected wait for a first token.
 
-    def note_wait(self, began_at: float, now: float) -> None:
-        """A request waited for its first token."""
+        This is the longest recent wait, decayed by its age, or the wait of the oldest request
+        without a first token if that is longer.
+        """
+        decayed = self.longest_wait * math.exp((self.longest_wait_at - now) / WAIT_MEMORY_SECONDS)
+        return max(decayed, now - min(self.waiting, default=now))
+
+    def record_wait(self, began_at: float, now: float) -> None:
+        """Record how long a request waited for its first token."""
         if now - began_at >= self.expected_wait(now):
             self.longest_wait = now - began_at
             self.longest_wait_at = now
 
-    def recent_failure(self, now: float) -> float:
-        """Return the share of failures, faded by its age."""
-        if not self.failure:
+    def recent_failure_rate(self, now: float) -> float:
+        """Return the failure rate, decayed by its age."""
+        if not self.failure_rate:
             return 0.0
-        return self.failure * math.exp((self.failure_at - now) / FAILURE_MEMORY_SECONDS)
+        return self.failure_rate * math.exp((self.failure_rate_at - now) / FAILURE_MEMORY_SECONDS)
--- a/tests/unit/forwarding/test_saved_prompts.py
+++ b/tests/unit/forwarding/test_saved_prompts.py
@@ -1,35 +1,35 @@
-"""What nodes tell each other of prompts that a store keeps."""
+"""Records of prompts saved to cache stores and their exchange between nodes."""
 
 from wheelslip.routing.saved_prompts import (
-    MAX_KNOWN,
-    MAX_TOLD,
-    SAVED_SECONDS,
-    TELL_SECONDS,
+    ANNOUNCE_SECONDS,
+    MAX_ANNOUNCED,
+    MAX_PROMPTS,
+    SAVED_TTL_SECONDS,
     SavedPrompts,
 )
 
 
-def test_a_saved_prompt_is_believed_for_a_time():
+def test_record_of_saved_prompt_expires():
     saved = SavedPrompts()
     assert not saved.has(1, 10.0)
-    saved.note(1, 10.0)
-    assert saved.has(1, 10.0 + SAVED_SECONDS - 0.1)
-    assert not saved.has(1, 10.0 + SAVED_SECONDS)
+    saved.record(1, 10.0)
+    assert saved.has(1, 10.0 + SAVED_TTL_SECONDS - 0.1)
+    assert not saved.has(1, 10.0 + SAVED_TTL_SECONDS)
 
 
-def test_news_are_told_for_a_short_time_and_not_for_ever_between_two_nodes():
+def test_records_are_announced_briefly_and_do_not_circulate_between_two_nodes():
     first, second = SavedPrompts(), SavedPrompts()
-    first.note(1, 10.0)
-    second.learn(first.news(10.1), 10.1)
-    assert second.has(1, 10.2) and second.news(10.2) == [1]
-    first.learn(second.news(10.2), 10.2)
-    assert first.news(10.0 + TELL_SECONDS + 0.1) == []
-    assert second.news(10.1 + TELL_SECONDS + 0.1) == []
+    first.record(1, 10.0)
+    second.merge(first.recent(10.1), 10.1)
+    assert second.has(1, 10.2) and second.recent(10.2) == [1]
+    first.merge(second.recent(10.2), 10.2)
+    assert first.recent(10.0 + ANNOUNCE_SECONDS + 0.1) == []
+    assert second.recent(10.1 + ANNOUNCE_SECONDS + 0.1) == []
 
 
-def test_the_newest_are_told_first_and_what_is_known_is_bounded():
+def test_newest_records_are_announced_first_and_oldest_are_dropped_at_the_limit():
     saved = SavedPrompts()
-    for key in range(MAX_KNOWN + 10):
-        saved.note(key, 10.0)
-    assert saved.news(10.0) == list(range(MAX_KNOWN + 9, MAX_KNOWN + 9 - MAX_TOLD, -1))
+    for key in range(MAX_PROMPTS + 10):
+        saved.record(key, 10.0)
+    assert saved.recent(10.0) == list(range(MAX_PROMPTS + 9, MAX_PROMPTS + 9 - MAX_ANNOUNCED, -1))
     assert not saved.has(9, 10.0) and saved.has(10, 10.0)
--- a/tests/unit/forwarding/test_worker_choice.py
+++ b/tests/unit/forwarding/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a worker from many, by many nodes that see the same loads."""
+"""Selection of a worker by nodes that all see the same loads."""
 
 import json
 import random
@@ -14,7 +14,7 @@
 from wheelslip.routing.worker_choice import WorkerPlacement
 
 WORKERS = 40
-PLAIN = {
+CONFIGURATION_WITHOUT_ENGINE = {
     "version": 2,
     "routes": [{"host": "h", "path_prefix": "/", "kind": "idempotent", "service": "s"}],
     "services": [{"name": "s"}],
@@ -44,55 +44,57 @@
 
 def place(node: int, session: str, loads: list[LoadAtWorker]) -> str:
     view, table = registry(), LoadTable()
-    table.take("relay", loads, NOW)
+    table.record_loads("relay", loads, NOW)
     placement = WorkerPlacement(view, lambda: NOW, random.Random(node), table)
     return placement.choose(query(session)).worker.info.id
 
 
-def test_all_nodes_send_a_session_to_one_worker_while_that_is_not_loaded():
+def test_all_nodes_select_the_same_worker_for_a_session_without_load():
     assert len({place(node, "5e55", []) for node in range(12)}) == 1
 
 
-def test_nodes_that_leave_a_loaded_home_do_not_all_take_the_same_worker():
+def test_nodes_avoiding_a_loaded_home_select_different_workers():
     home = place(0, "5e55", [])
     loads = [LoadAtWorker(f"w{number}", 1, 30_000) for number in range(WORKERS)]
-    loads = [one._replace(prompt_tokens=300_000) if one.worker == home else one for one in loads]
-    # One worker has nothing at all to do, and every node knows it.
-    idle = next(one.worker for one in loads if one.worker != home)
-    loads = [one for one in loads if one.worker != idle]
-    taken = Counter(place(node, "5e55", loads) for node in range(60))
-    assert home not in taken
-    assert taken[idle] <= 30 and len(taken) >= 10
-
-
-def test_loads_of_other_nodes_turn_a_request_away_from_its_home():
+    loads = [
+        load._replace(prefill_tokens=300_000) if load.worker == home else load for load in loads
+    ]
+    # One worker is idle, which all nodes see.
+    idle = next(load.worker for load in loads if load.worker != home)
+    loads = [load for load in loads if load.worker != idle]
+    selected = Counter(place(node, "5e55", loads) for node in range(60))
+    assert home not in selected
+    assert selected[idle] <= 30 and len(selected) >= 10
+
+
+def test_loads_reported_by_other_nodes_divert_a_request_from_its_home():
     home = place(0, "5e55", [])
     assert place(0, "5e55", [LoadAtWorker(home, 8, 300_000)]) != home
 
 
-def test_a_worker_without_a_free_slot_or_memory_is_passed_by():
+def test_worker_without_free_slot_or_memory_is_not_selected():
     home = place(0, "5e55", [])
     others = [LoadAtWorker(f"w{n}", 7, 0, 60_000) for n in range(WORKERS) if f"w{n}" != home]
     assert place(0, "5e55", [*others, LoadAtWorker(home, 7, 0, 60_000)]) == home
-    # No first token is late there yet, but nothing more fits until something ends.
+    # The home has no prefill backlog, but its memory or slots are exhausted.
     assert place(0, "5e55", [*others, LoadAtWorker(home, 7, 0, 140_000)]) != home
     assert place(0, "5e55", [*others, LoadAtWorker(home, 12, 0, 60_000)]) != home
 
 
-def test_a_worker_to_which_a_connection_is_open_is_preferred_among_equals():
+def test_worker_with_open_connection_is_preferred_among_equals():
     view = registry()
-    view.apply("op/config", json.dumps(PLAIN).encode(), 1000)
+    view.apply("op/config", json.dumps(CONFIGURATION_WITHOUT_ENGINE).encode(), 1000)
     for open_to in ("w3", "w17"):
         placement = WorkerPlacement(view, lambda: NOW, random.Random(1))
         chosen = placement.choose(query("5e55", connected=frozenset({open_to})))
         assert chosen.worker.info.id == open_to
 
 
-def test_while_weights_are_replaced_short_requests_begin_on_the_newest_ones():
+def test_short_requests_start_on_newest_weights_during_a_rollout():
     view = registry()
     newest = {f"w{number}" for number in range(0, WORKERS, 2)}
-    for number, worker in enumerate(sorted(newest)):
-        view.apply(f"servers/{worker}", worker_entry(model="m", version=2), 2000 + number)
+    for number, worker_id in enumerate(sorted(newest)):
+        view.apply(f"servers/{worker_id}", worker_entry(model="m", version=2), 2000 + number)
     view.apply("op/version/m", b'{"model_id":"m","version":2}', 3000)
     placement = WorkerPlacement(view, lambda: NOW, random.Random(1))
     workers = view.workers_of("s")
@@ -100,5 +102,5 @@
     short = query("5e55", prompt_tokens=900, pause_seconds=0.5)
     for _ in range(50):
         placement._preferred(long, workers)
-        preferred = {one.info.id for one in placement._preferred(short, workers)}
+        preferred = {worker.info.id for worker in placement._preferred(short, workers)}
     assert preferred and preferred < newest
--- a/tests/unit/forwarding/test_worker_starts.py
+++ b/tests/unit/forwarding/test_worker_starts.py
@@ -1,9 +1,6 @@
-"""What a node holds of a worker belongs to one start of it.
+"""Registry state and load records belong to one incarnation of a worker.
 
-A worker that starts again under its id begins with nothing: its versions, its marks and its counts
-are those of another process. A node took the higher of both starts' versions, so a worker that came
-back with version 1 in place of 2 counted as having 2, got requests that it refused with 421, and no
-order to load.
+A restarted worker must not inherit weight versions, marks or loads from its previous incarnation.
 """
 
 import random
@@ -15,35 +12,35 @@
 from wheelslip.routing.worker_choice import WorkerPlacement
 
 BORN = 1_764_700_000_000
-NEWER = BORN + 5_000
+NEWER_BORN = BORN + 5_000
 
 
 def entry(born: int | None = BORN, version: int = 1, state: str = "ready") -> bytes:
     return worker_entry(model="m", version=version, state=state, born=born)
 
 
-def test_weights_of_an_older_start_are_not_those_of_the_newer(registry):
+def test_weights_of_older_incarnation_are_not_inherited(registry):
     registry.apply("servers/a", entry(version=2), 1)
-    registry.apply("servers/a", entry(NEWER, version=1), 2)
+    registry.apply("servers/a", entry(NEWER_BORN, version=1), 2)
     (worker,) = registry.workers_of("s")
     assert worker.weights == {"m": 1}
 
 
-def test_news_of_an_older_start_is_passed_over_wherever_it_arrives(registry, clock):
-    """An entry that the older start wrote is carried out late; a listing and a record are behind."""
-    registry.apply("servers/a", entry(NEWER, version=1), 5)
+def test_late_updates_of_older_incarnation_are_ignored(registry, clock):
+    """A delayed write, a stale listing and a stale rollout record name the older incarnation."""
+    registry.apply("servers/a", entry(NEWER_BORN, version=1), 5)
     registry.replace_all({"servers/a": (entry(BORN, version=2), 4)}, at=4)
     registry.apply("servers/a", entry(BORN, version=2, state="draining"), 6)
     registry.take_rollout(frozenset(), {incarnation_of("a", BORN): {"m": 2}})
     registry.note_weights(incarnation_of("a", BORN), "m", 2)
     registry.mark_replaced(incarnation_of("a", BORN))
     (worker,) = registry.workers_of("s")
-    assert (worker.info.born, worker.weights) == (NEWER, {"m": 1})
+    assert (worker.info.born, worker.weights) == (NEWER_BORN, {"m": 1})
 
 
-def test_an_older_start_that_goes_on_writing_is_the_one_that_lives(registry, clock):
-    """The machine's clock was set back between the two starts, so the newer one seems older."""
-    registry.apply("servers/a", entry(NEWER), 5)
+def test_older_incarnation_that_keeps_writing_replaces_the_expired_newer_one(registry, clock):
+    """A clock set back between two starts makes the running incarnation appear older."""
+    registry.apply("servers/a", entry(NEWER_BORN), 5)
     registry.apply("servers/a", entry(BORN), 6)
     clock.now += 3 * BoundsSection().heartbeat_ms / 1000
     registry.expire_workers()
@@ -51,49 +48,49 @@
     assert worker.info.born == BORN
 
 
-def test_a_start_that_left_is_in_use_again_as_another(registry):
-    """Marks of the older start, that another process answered there, are not the newer one's."""
+def test_worker_that_left_is_used_again_under_a_new_incarnation(registry):
+    """The mark that another process answered at the address is not inherited."""
     registry.apply("servers/a", entry(), 1)
     registry.mark_replaced(incarnation_of("a", BORN))
     registry.apply("servers/a", entry(state="draining"), 2)
     assert registry.workers_of("s") == []
-    registry.apply("servers/a", entry(NEWER), 3)
-    assert [one.info.born for one in registry.workers_of("s")] == [NEWER]
+    registry.apply("servers/a", entry(NEWER_BORN), 3)
+    assert [worker.info.born for worker in registry.workers_of("s")] == [NEWER_BORN]
 
 
-def test_a_worker_that_tells_no_start_keeps_its_id_alone(registry):
+def test_worker_without_start_time_is_identified_by_its_id_alone(registry):
     registry.apply("servers/a", entry(None, version=2), 1)
     registry.apply("servers/a", entry(None, version=1), 2)
     (worker,) = registry.workers_of("s")
     assert (worker.info.id, worker.weights) == ("a", {"m": 2})
 
 
-def test_requests_that_end_after_their_start_has_gone_leave_nothing_behind(registry, clock):
-    """Nothing would ever end what was kept of it: each restart of a worker cost some memory."""
+def test_requests_ending_after_their_incarnation_departed_leave_no_records(registry, clock):
+    """Records created after the removal would never be deleted: a memory leak at each restart."""
     registry.apply("servers/a", entry(), 1)
     records = WorkerPlacement(registry, clock, random.Random(1))
     registry.view.on_gone = records.forget
     placement = Placement(registry.workers_of("s")[0])
     began_at = records.begin(placement)
-    registry.apply("servers/a", entry(NEWER), 2)
+    registry.apply("servers/a", entry(NEWER_BORN), 2)
     records.end(placement, began_at, had_first_token=False)
-    records.note_outcome(placement.worker.info.id, failed=True)
-    assert records.all_loads(incarnation_of("a", BORN)).running == 0
+    records.record_outcome(placement.worker.info.id, failed=True)
+    assert records.total_load(incarnation_of("a", BORN)).running == 0
     assert not records._loads
 
 
-def test_an_entry_that_cannot_be_used_is_logged_once_a_change(registry, caplog):
+def test_unusable_entry_is_logged_once_per_change(registry, caplog):
     registry.apply("servers/a", entry(), 1)
     with caplog.at_level("WARNING", logger="wheelslip"):
         for revision in range(2, 6):
             registry.apply("servers/a", b'{"service": "s"}', revision)
         registry.apply("servers/a", b"no document", 6)
-    refused = [(one.field, one.key) for one in caplog.records]
+    refused = [(record.field, record.key) for record in caplog.records]
     assert refused == [("address", "servers/a"), ("", "servers/a")]
     assert registry.refused_entries == 2
 
 
-def test_what_operators_wrote_last_holds_while_the_newer_cannot_be_read(registry):
+def test_last_valid_operator_document_stays_in_force_when_a_newer_one_is_invalid(registry):
     registry.apply("op/config", b'{"version": 3, "services": [{"name": "s"}]}', 1)
     registry.apply("op/version/m", b'{"model_id": "m", "version": 2}', 2)
     registry.apply("op/config", b'{"version": "next"}', 3)
@@ -101,7 +98,7 @@
     assert (registry.configuration.version, registry.newest_weights("m")) == (3, 2)
 
 
-def test_one_entry_that_cannot_be_read_stops_no_other_of_a_listing(registry):
+def test_invalid_entry_of_a_listing_does_not_affect_the_others(registry):
     listing = {
         "op/config": (b"[" * 100_000, 1),
         "servers/a": (entry(), 2),
@@ -110,20 +107,25 @@
         "servers/e": (entry(), 5),
     }
     registry.replace_all(listing, at=9)
-    assert sorted(one.info.id for one in registry.workers_of("s")) == [f"a/{BORN}", f"e/{BORN}"]
+    assert sorted(worker.info.id for worker in registry.workers_of("s")) == [
+        f"a/{BORN}",
+        f"e/{BORN}",
+    ]
 
 
-def test_orders_go_to_workers_of_declared_services_alone(registry):
-    """An entry of another writer may name a service that is not there, and any address."""
+def test_only_workers_of_declared_services_receive_orders(registry):
+    """An entry written by another program may name an undeclared service and any address."""
     registry.apply("op/config", b'{"version": 1, "services": [{"name": "s"}]}', 1)
     registry.apply("servers/a", entry(), 2)
     registry.apply("servers/b", worker_entry("elsewhere", model="m"), 3)
-    ordered = [one.info.id for one in registry.workers.values() if registry.takes_orders(one)]
+    ordered = [
+        worker.info.id for worker in registry.workers.values() if registry.takes_orders(worker)
+    ]
     assert ordered == [f"a/{BORN}"]
 
 
-def test_nothing_is_ordered_from_a_worker_that_is_out_of_use(registry, clock):
-    """It drains, its entry names none, another process answered there, or it is in doubt."""
+def test_workers_out_of_use_receive_no_orders(registry, clock):
+    """The workers are draining, unusable, replaced, or doubtful after a store outage."""
     registry.apply("op/config", b'{"version": 1, "services": [{"name": "s"}]}', 1)
     for number, worker_id in enumerate("abcde"):
         registry.apply(f"servers/{worker_id}", entry(), 2 + number)
@@ -132,12 +134,14 @@
     registry.mark_replaced(incarnation_of("c", BORN))
     registry.note_outage(clock.now)
     registry.apply("servers/d", None, 12)
-    ordered = [one.info.id for one in registry.workers.values() if registry.takes_orders(one)]
+    ordered = [
+        worker.info.id for worker in registry.workers.values() if registry.takes_orders(worker)
+    ]
     assert ordered == [f"e/{BORN}"]
 
 
-def test_an_unusable_worker_whose_entry_goes_is_gone_also_around_an_outage(registry, clock):
-    """It was out of use before, so nothing speaks for its return."""
+def test_unusable_worker_is_removed_with_its_entry_even_during_an_outage(registry, clock):
+    """Only usable workers are retained as doubtful when their entry vanishes in an outage."""
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", b"{}", 2)
     registry.note_outage(clock.now)
@@ -145,17 +149,17 @@
     assert not registry.workers
 
 
-def test_a_document_of_operators_that_is_removed_stays_in_force(registry):
+def test_removed_operator_document_stays_in_force(registry):
     registry.apply("op/config", b'{"version": 3, "services": [{"name": "s"}]}', 1)
     registry.apply("op/version/m", b'{"model_id": "m", "version": 2}', 2)
     registry.replace_all({}, at=9)
     assert (registry.configuration.version, registry.newest_weights("m")) == (3, 2)
 
 
-def test_a_start_that_follows_an_engine_in_doubt_is_in_no_doubt(registry, clock):
+def test_new_incarnation_of_a_doubtful_worker_is_not_doubtful(registry, clock):
     registry.apply("servers/a", entry(), 1)
     registry.note_outage(clock.now)
     registry.apply("servers/a", None, 2)
-    registry.apply("servers/a", entry(NEWER), 3)
+    registry.apply("servers/a", entry(NEWER_BORN), 3)
     (worker,) = registry.workers_of("s")
-    assert (worker.info.born, worker.doubtful_until) == (NEWER, None)
+    assert (worker.info.born, worker.doubtful_until) == (NEWER_BORN, None)
