--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -516,7 +516,7 @@
         "rest is not looked at before the request is written",
         FORWARDING,
         "forwarding/forwarder.py",
-        "if not self._registry.may_begin(worker.id, assignment.placement.is_counted):",
+        "if not self._registry.may_begin(worker.id, assignment.placement.rate_limit_charged):",
         "if not self._registry.takes_requests(worker.id):",
         "forwarding/test_said_in_answers.py"
         "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
--- a/src/wheelslip/forwarding/assignment.py
+++ b/src/wheelslip/forwarding/assignment.py
@@ -58,10 +58,10 @@
         self._records.first_token(self.placement, self._began_at)
         self._tell(Progress.FIRST_TOKEN)
 
-    def note_outcome(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """The worker has served the request, or has not."""
         self._failed = failed
-        self._records.note_outcome(self.placement.worker.info.id, failed)
+        self._records.record_outcome(self.placement.worker.info.id, failed)
 
     def note_not_run(self, failed: bool) -> None:
         """The worker has proved that it did not run the request.
@@ -69,7 +69,7 @@
         :param failed: it did so by a fault, or since it is full.
         """
         self._not_run = True
-        self.note_outcome(failed)
+        self.record_outcome(failed)
 
     def unreached(self) -> None:
         """No connection to the worker came up; nothing was sent."""
@@ -86,7 +86,7 @@
         self._not_sent(Progress.UNUSED)
 
     def _not_sent(self, progress: Progress) -> None:
-        if self._grant is None and self.placement.is_counted:
+        if self._grant is None and self.placement.rate_limit_charged:
             self._allowance.give_back(self.placement.worker.info.id)
         self._tell(progress)
 
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -213,7 +213,7 @@
             registry.note_weights(info.id, model, answer.weights_version)
 
     def _note_outcome(self, failed: bool) -> None:
-        self._assignment.note_outcome(failed)
+        self._assignment.record_outcome(failed)
 
     def _note_first_token(self) -> None:
         now = self._services.clock()
--- a/src/wheelslip/forwarding/feed.py
+++ b/src/wheelslip/forwarding/feed.py
@@ -180,8 +180,8 @@
         """Wait for a change after the poll's revision, and return what is new."""
         arrived_at = self._clock()
         if poll.address:
-            self._table.take(poll.address, poll.loads, arrived_at)
-            self._table.saved.learn(poll.saved, arrived_at)
+            self._table.record_loads(poll.address, poll.loads, arrived_at)
+            self._table.saved.merge(poll.saved, arrived_at)
             self._heard_until[poll.address] = arrived_at + HEARD_SECONDS
         deadline = arrived_at + self._wait_seconds()
         while True:
@@ -217,8 +217,8 @@
             changes,
             None if confirmed_at is None else confirmed_at - arrived_at,
             self._registry.health.failing_age(now),
-            self._table.others(now, self._own_loads(), poll.address),
-            self._table.saved.news(now),
+            self._table.total_without(now, self._own_loads(), poll.address),
+            self._table.saved.recent(now),
         )
 
     def close(self) -> None:
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -30,7 +30,7 @@
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.forwarding.worker_pool import WorkerPool
-from wheelslip.routing.overload import Overloaded, Turns
+from wheelslip.routing.overload import Overloaded, RetrySchedule
 from wheelslip.routing.retry_window import RetryWindow
 from wheelslip.routing.split import SmoothSplit
 from wheelslip.routing.tenant_limits import NoAuthority, TenantLimited
@@ -96,7 +96,7 @@
         self._services = AttemptServices(dialect, registry, pool, metrics, clock)
         self._splits: dict[str, SmoothSplit] = {}
         self._budgets: dict[str, RetryWindow] = {}
-        self._rest_turns: dict[str, Turns] = {}
+        self._rest_turns: dict[str, RetrySchedule] = {}
 
     async def handle(self, received: ReceivedRequest, caller: CallerConnection) -> None:
         """Answer one request, whatever happens."""
@@ -264,7 +264,7 @@
         returns_at = max(now, rests_until)
         if returns_at <= job.request.arrived + job.route.target_seconds:
             return returns_at
-        turns = self._rest_turns.setdefault(service, Turns())
+        turns = self._rest_turns.setdefault(service, RetrySchedule())
         seconds = turns.retry_seconds(now, returns_at - now, REST_TURN_SECONDS)
         raise self._unserved_error(job, "the engines left rest", max(seconds, LEAST_RETRY_SECONDS))
 
@@ -338,7 +338,7 @@
             # The caller has left, or its time is up, while the connection was being opened.
             assignment.unused()
             raise
-        if not self._registry.may_begin(worker.id, assignment.placement.is_counted):
+        if not self._registry.may_begin(worker.id, assignment.placement.rate_limit_charged):
             # It has said so since it was chosen: opening a connection may take a third of the
             # drain time. Nothing is awaited from here until the request is written.
             connection.close()
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -238,7 +238,7 @@
     def running_at(self, worker_id: str) -> float:
         """Return the requests of all nodes at a worker, as far as this one knows."""
         worker = self._registry.view.of_id(worker_id)
-        return self._placement.all_loads(worker.info.id).running if worker is not None else 0.0
+        return self._placement.total_load(worker.info.id).running if worker is not None else 0.0
 
     def hold_bytes(self, count: int) -> None:
         """Count bytes as if bodies of requests held them."""
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -260,7 +260,7 @@
             await self._poll_view(self._feed, address)
             return
         batch = await self._poll_view(self._feed, address, self._address, self._own_loads())
-        self._table.take(_RELAY, batch.loads, self._clock())
+        self._table.record_loads(_RELAY, batch.loads, self._clock())
 
     async def _poll_view(
         self,
@@ -276,10 +276,10 @@
         """
         sent_at = self._clock()
         saved = self._table.saved
-        poll = FeedPoll(self._after, own_address, list(loads), saved.news(sent_at))
+        poll = FeedPoll(self._after, own_address, list(loads), saved.recent(sent_at))
         batch = await client.poll(address, poll)
         self._take(batch, sent_at)
-        saved.learn(batch.saved, self._clock())
+        saved.merge(batch.saved, self._clock())
         return batch
 
     def _take(self, batch: FeedBatch, sent_at: float) -> None:
--- a/src/wheelslip/forwarding/relay_link.py
+++ b/src/wheelslip/forwarding/relay_link.py
@@ -50,7 +50,7 @@
 
     def _hear(self, news: ZoneLoads, sender: str) -> None:
         if news.zone != self._zone:
-            self._table.take_zone(news, self._clock())
+            self._table.record_zone_loads(news, self._clock())
 
     async def run(self) -> None:
         """Tell the other relays for ever."""
@@ -62,17 +62,17 @@
     def tell(self) -> None:
         """Tell now, if there is anybody to tell and the socket is open."""
         now = self._clock()
-        self._table.forget_old(now)
+        self._table.drop_expired(now)
         addresses = self._other_relays()
         if not addresses or not self._socket.open:
             return
         self._sequence += 1
-        for part in self._parts(self._table.own_zone(now, self._own_loads()), now):
+        for part in self._parts(self._table.zone_total(now, self._own_loads()), now):
             self._socket.send_to(addresses, LOADS, part)
 
     def _parts(self, loads: list[LoadAtWorker], now: float) -> Iterator[ZoneLoads]:
         loads = sorted(loads)
-        saved = self._table.saved.news(now)[:PART_PROMPTS]
+        saved = self._table.saved.recent(now)[:PART_PROMPTS]
         for number, first in enumerate(range(0, max(1, len(loads)), PART_WORKERS)):
             part = loads[first : first + PART_WORKERS]
             yield ZoneLoads(self._zone, number, self._incarnation, self._sequence, part, saved)
--- a/src/wheelslip/forwarding/rollout.py
+++ b/src/wheelslip/forwarding/rollout.py
@@ -205,7 +205,7 @@
 
     def _is_behind(self, workers: list[Worker]) -> bool:
         """Whether prompts wait at the workers, so that none can be spared."""
-        unread = sum(self._placement.all_loads(one.info.id).prompt_tokens for one in workers)
+        unread = sum(self._placement.total_load(one.info.id).prefill_tokens for one in workers)
         return unread > BEHIND_SECONDS * PREFILL_TOKENS_PER_SECOND * len(workers)
 
     def _workers(self, model: str) -> list[Worker]:
@@ -222,7 +222,7 @@
         if since is not None:
             due = since + self._bounds().weights_deadline_ms / 1000
         incarnation = worker.info.id
-        running = self._placement.all_loads(incarnation).running
+        running = self._placement.total_load(incarnation).running
         loading, paused = incarnation in self._loads, self._is_paused(worker)
         return WorkerWeights(incarnation, version, due, loading, running, paused)
 
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -34,7 +34,7 @@
 from wheelslip.peers.dispatcher_health import DispatcherHealth, NoDispatcher
 from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.named_limits import NamedLimits
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
@@ -67,7 +67,7 @@
 
     kept_until: float
     service: str
-    kept: KeptPrompt
+    kept: CachedPrompt
 
 
 @dataclass
@@ -91,7 +91,7 @@
             placement.worker.info.id,
             placement.weights_version,
             placement.chain,
-            0 if self.had_first_token else placement.read_tokens,
+            0 if self.had_first_token else placement.prefill_tokens,
             placement.held_tokens,
         )
 
@@ -242,10 +242,10 @@
             worker,
             version,
             chain,
-            answer.read_tokens,
+            answer.prefill_tokens,
             held_tokens=query.prompt_tokens + query.output_tokens,
             cache=cache,
-            is_counted=answer.counted,
+            rate_limit_charged=answer.counted,
         )
         return self._keep(ticket_id, address, query.service, placement)
 
@@ -286,7 +286,7 @@
     def _note_read(self, grant: Grant) -> None:
         placement = grant.placement
         if placement.chain:
-            kept = KeptPrompt(placement.worker.info.id, placement.chain)
+            kept = CachedPrompt(placement.worker.info.id, placement.chain)
             self._read.append(_ReadPrompt(self._clock() + READ_SECONDS, grant.service, kept))
 
     def _send(self, address: str, ticket_id: TicketId, progress: Progress) -> None:
--- a/src/wheelslip/peers/dispatch_messages.py
+++ b/src/wheelslip/peers/dispatch_messages.py
@@ -5,7 +5,7 @@
 from wheelslip.deployment import Incarnation, PromptPart
 from wheelslip.routing.dispatcher import Progress, TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.placement import PlacementQuery
 
 ASK = "ask"
@@ -68,14 +68,14 @@
             query.prompt_tokens,
             query.output_tokens,
             [(part.id, part.tokens) for part in query.prompt],
-            query.wall,
+            query.cache_namespace,
             query.pause_seconds,
             query.target_seconds,
             query.priority,
             query.zone,
             sorted(query.connected)[:MAX_CONNECTED],
             sorted(query.excluded)[:MAX_EXCLUDED],
-            query.begun,
+            query.sent_before,
             query.tenant,
             query.limit_units,
             counts_only,
@@ -124,7 +124,7 @@
     dispatcher: str
     worker: Incarnation | None = None
     weights_version: int | None = None
-    read_tokens: int = 0
+    prefill_tokens: int = 0
     fetch_from: str = ""
     save_to: str = ""
     retry_seconds: float = 0.0
@@ -155,7 +155,7 @@
 class KeptTold(NamedTuple):
     """Prompts that workers have read of late, the oldest first."""
 
-    prompts: list[KeptPrompt]
+    prompts: list[CachedPrompt]
 
 
 class VoteTold(NamedTuple):
--- a/src/wheelslip/peers/dispatch_server.py
+++ b/src/wheelslip/peers/dispatch_server.py
@@ -71,10 +71,10 @@
             self._incarnation,
             placement.worker.info.id,
             placement.weights_version,
-            placement.read_tokens,
+            placement.prefill_tokens,
             cache.fetch_from,
             cache.save_to,
-            counted=placement.is_counted,
+            counted=placement.rate_limit_charged,
         )
 
     def _count(self, ask: WorkerAsk) -> WorkerGrant:
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from wheelslip.routing.fleet_choice import FleetPlacement, RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.tenant_limits import Charge, NoAuthority, TenantLimits
@@ -153,31 +153,31 @@
         match progress:
             case Progress.FIRST_TOKEN:
                 self._first_token(ticket)
-                self.placement.heard(worker_id, ticket_id.node)
+                self.placement.record_contact(worker_id, ticket_id.node)
             case Progress.ENDED:
                 if ticket.had_first_token or not ticket.placement.chain:
-                    self.placement.note_outcome(worker_id, failed=False)
-                    self.placement.heard(worker_id, ticket_id.node)
+                    self.placement.record_outcome(worker_id, failed=False)
+                    self.placement.record_contact(worker_id, ticket_id.node)
                 self._end(ticket_id)
             case Progress.FAILED:
-                self.placement.note_outcome(worker_id, failed=True)
+                self.placement.record_outcome(worker_id, failed=True)
                 self._end(ticket_id)
             case Progress.SILENT:
-                self.placement.note_outcome(worker_id, failed=True)
-                self.placement.unreached(worker_id, ticket_id.node)
+                self.placement.record_outcome(worker_id, failed=True)
+                self.placement.record_unreachable(worker_id, ticket_id.node)
                 self._end(ticket_id)
             case Progress.NOT_RUN:
-                self.placement.note_outcome(worker_id, failed=True)
+                self.placement.record_outcome(worker_id, failed=True)
                 self._end_not_run(ticket_id)
             case Progress.UNUSED:
                 self._end_not_sent(ticket_id)
             case Progress.UNREACHED:
-                self.placement.unreached(worker_id, ticket_id.node)
+                self.placement.record_unreachable(worker_id, ticket_id.node)
                 self._end_not_sent(ticket_id)
 
     def _end_not_sent(self, ticket_id: TicketId) -> None:
         placement = self._tickets[ticket_id].placement
-        if placement.is_counted:
+        if placement.rate_limit_charged:
             self._allowance.give_back(placement.worker.info.id)
         self._end_not_run(ticket_id)
 
@@ -214,18 +214,18 @@
         """Take over a request that another dispatcher has granted, or what was lost of it."""
         ticket = self._tickets.get(ticket_id)
         if ticket is None:
-            placement = self.placement.adopted(one)
+            placement = self.placement.rebuild_placement(one)
             if placement is None:
                 return
             ticket = _Ticket(placement, self.placement.begin(placement))
             self._tickets[ticket_id] = ticket
-        if one.unread_tokens == 0:
+        if one.prefill_tokens == 0:
             self._first_token(ticket)
 
-    def kept(self, prompts: list[KeptPrompt]) -> None:
+    def kept(self, prompts: list[CachedPrompt]) -> None:
         """Take over prompts that workers have read, as a node remembers them."""
         for one in prompts:
-            self.placement.learn(one)
+            self.placement.record_cached_prompt(one)
 
     def _hear(self, node: str) -> None:
         self._heard_at[node] = self._clock()
--- a/src/wheelslip/routing/scheduler.py
+++ b/src/wheelslip/routing/scheduler.py
@@ -27,7 +27,7 @@
     Refusal,
     RoutingRequest,
 )
-from wheelslip.routing.prefills import Prefill, PrefillBoard
+from wheelslip.routing.prefills import ActivePrefills, Prefill
 from wheelslip.routing.prefix import BLOCK_TOKENS
 from wheelslip.routing.prefix_registry import PrefixHint, registry_head
 from wheelslip.routing.retry import Circuit
@@ -74,7 +74,7 @@
         self._index = PrefixIndex()
         self._queue = FairQueue()
         self._sent: dict[str, _Sent] = {}
-        self._prefills = PrefillBoard()
+        self._prefills = ActivePrefills()
         self._sharing = PrefixSharing(options.ask_timeout_seconds)
         self._chooser = EngineChooser(options, self._engines, self._index, self._prefills)
         self._departures = _DepartureRate()
@@ -159,7 +159,7 @@
             if self._options.feedback and cached_tokens is not None:
                 engine = sent.engine
                 if sent.to_home_unknown:
-                    self._chooser.learn_home(sent.keys, cached_tokens)
+                    self._chooser.record_home_hit(sent.keys, cached_tokens)
                 self._index.record_answer(
                     engine.name, engine.incarnation, sent.keys, cached_tokens, sent.head_age, now
                 )
@@ -195,7 +195,7 @@
             keys = asked[: hint.blocks]
             if hint.ready_in_seconds > 0:
                 end = now + hint.ready_in_seconds
-                elsewhere = Prefill(hint.engine, keys, now, end, elsewhere=head)
+                elsewhere = Prefill(hint.engine, keys, now, end, remote_head=head)
                 self._prefills.add(f"{hint.engine}/{head}", elsewhere)
             else:
                 used_at = now - hint.idle_seconds
@@ -204,7 +204,7 @@
 
     def tick(self, now: float) -> list[Decision]:
         """Send what can be sent and refuse what cannot make its deadline."""
-        for head in self._prefills.remove_due_elsewhere(now):
+        for head in self._prefills.remove_due_remote(now):
             self._sharing.forget(head)
         decisions: list[Decision] = []
         following: dict[str, float] = {}
@@ -246,7 +246,7 @@
 
         An empty list means that the question is under way.
         """
-        uncached = request.prompt_tokens - choice.known_blocks * BLOCK_TOKENS
+        uncached = request.prompt_tokens - choice.indexed_blocks * BLOCK_TOKENS
         if not self._options.ask_home or uncached < SHARE_MIN_TOKENS:
             return None
         engine = choice.engine
@@ -267,7 +267,7 @@
     def _long_prefill(
         self, request: RoutingRequest, choice: Choice, now: float, following: dict[str, float]
     ) -> LongPrefill | None:
-        uncached = request.prompt_tokens - choice.known_blocks * BLOCK_TOKENS
+        uncached = request.prompt_tokens - choice.indexed_blocks * BLOCK_TOKENS
         if uncached < SHARE_MIN_TOKENS:
             return None
         return LongPrefill(
@@ -275,7 +275,7 @@
             guessed_tokens=choice.cached_tokens - (request.prompt_tokens - uncached),
             waited_seconds=round(now - request.arrived, 3),
             cost_seconds=round(choice.cost_seconds, 3),
-            following=self._chooser.passed_over(request, choice, now, following),
+            following=self._chooser.skipped_prefills(request, choice, now, following),
         )
 
     def _send(
@@ -286,7 +286,7 @@
         uncached = max(1, request.prompt_tokens - choice.cached_tokens)
         expected = now + choice.wait_seconds + view.prefill_seconds(uncached)
         view.record_sent(request.request_id, uncached, now)
-        unknown = choice.is_home and choice.known_blocks == 0
+        unknown = choice.is_home and choice.indexed_blocks == 0
         head_age = self._index.head_age(view.info.name, keys, now)
         sent = _Sent(request, view.info, keys, unknown, head_age)
         self._sent[request.request_id] = sent
--- a/src/wheelslip/routing/worker_allowance.py
+++ b/src/wheelslip/routing/worker_allowance.py
@@ -14,7 +14,7 @@
 from wheelslip.routing.limit_authority import Authority
 from wheelslip.routing.limits import TokenBucket
 from wheelslip.routing.named_limits import NamedLimits
-from wheelslip.routing.overload import Overloaded, Turns
+from wheelslip.routing.overload import Overloaded, RetrySchedule
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.worker_choice import WorkerPlacement
 
@@ -115,7 +115,7 @@
     def __init__(self, placement: WorkerPlacement, allowance: WorkerAllowance):
         self._placement = placement
         self._allowance = allowance
-        self._turns: dict[str, Turns] = {}
+        self._turns: dict[str, RetrySchedule] = {}
 
     def choose(self, query: PlacementQuery, now: float) -> Placement | None:
         """Return the best worker now, ``None`` when none may take the request.
@@ -130,7 +130,7 @@
             if chosen is None:
                 self._raise_overloaded(query.service, exhausted, now)
         if chosen is not None and self._allowance.take(chosen.worker.info.id):
-            return replace(chosen, is_counted=True)
+            return replace(chosen, rate_limit_charged=True)
         return chosen
 
     def _limited(self, query: PlacementQuery) -> list[Incarnation]:
@@ -155,7 +155,7 @@
         wait = self._allowance.wait_seconds(exhausted)
         if wait is None:
             return
-        turns = self._turns.setdefault(service, Turns())
+        turns = self._turns.setdefault(service, RetrySchedule())
         seconds = turns.retry_seconds(now, wait, 1.0 / self._allowance.rate(exhausted))
         self._allowance.refused += 1
         raise Overloaded(max(LEAST_RETRY_SECONDS, seconds))
--- a/tests/unit/forwarding/messages.py
+++ b/tests/unit/forwarding/messages.py
@@ -30,7 +30,7 @@
 from wheelslip.routing.crash_ledger import Crash
 from wheelslip.routing.dispatcher import Progress, TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.load_table import LoadAtWorker, ZoneLoads
 from wheelslip.routing.named_limits import LimitReport
 from wheelslip.routing.placement import PlacementQuery
@@ -77,7 +77,7 @@
         Sample("grant", grant),
         *told,
         Sample("running", RunningTold("n1", [7, 8], [running])),
-        Sample("kept", KeptTold([KeptPrompt(START, CHAIN)])),
+        Sample("kept", KeptTold([CachedPrompt(START, CHAIN)])),
         Sample("vote", VoteTold(True)),
         Sample("voted", VoteTaken(9)),
         Sample("votes", VotesTold(5, 1.5)),
--- a/tests/unit/forwarding/test_budget_and_split.py
+++ b/tests/unit/forwarding/test_budget_and_split.py
@@ -1,6 +1,6 @@
 """Retry window, smooth split, holdings."""
 
-from wheelslip.routing.holdings import WorkerHoldings, chain_of
+from wheelslip.routing.holdings import CachedParts, chain_of
 from wheelslip.routing.retry_window import RetryWindow
 from wheelslip.routing.split import SmoothSplit
 
@@ -40,7 +40,7 @@
 
 
 def test_a_part_counts_only_with_every_part_before_it():
-    holdings = WorkerHoldings(capacity_tokens=1000)
+    holdings = CachedParts(capacity_tokens=1000)
     chain = chain_of("salt", (("a", 100), ("b", 200), ("c", 50)))
     holdings.record(chain)
     assert holdings.cached_tokens(chain) == 350
@@ -49,7 +49,7 @@
 
 
 def test_the_parts_unused_longest_give_way_and_the_last_before_the_first():
-    holdings = WorkerHoldings(capacity_tokens=300)
+    holdings = CachedParts(capacity_tokens=300)
     first = chain_of("salt", (("a", 100), ("b", 100)))
     holdings.record(first)
     holdings.record(chain_of("salt", (("c", 200),)))
--- a/tests/unit/forwarding/test_dispatch_messages.py
+++ b/tests/unit/forwarding/test_dispatch_messages.py
@@ -15,7 +15,7 @@
 )
 from wheelslip.routing.dispatcher import TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.placement import PlacementQuery
 from wheelslip.wire import encode_frame
 
@@ -52,7 +52,7 @@
         (ASK, asked()),
         (ASK, asked()._replace(excluded=ruled_out, connected=ruled_out[:MAX_CONNECTED])),
         (RUNNING, RunningTold(NODE, asks, [running] * PART_REQUESTS)),
-        (KEPT, KeptTold([KeptPrompt(WORKER, CHAIN)] * PART_REQUESTS)),
+        (KEPT, KeptTold([CachedPrompt(WORKER, CHAIN)] * PART_REQUESTS)),
     ]
     assert max(len(encode_frame(one)) for one in frames) <= MAX_PACKET_BYTES
 
--- a/tests/unit/forwarding/test_dispatcher.py
+++ b/tests/unit/forwarding/test_dispatcher.py
@@ -18,15 +18,15 @@
     Progress,
     TicketId,
 )
-from wheelslip.routing.fleet_choice import HEARD_SECONDS, FleetPlacement, RunningRequest
-from wheelslip.routing.fleet_memory import KeptPrompt
+from wheelslip.routing.fleet_choice import RECENT_CONTACT_SECONDS, FleetPlacement, RunningRequest
+from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.limit_authority import WholeAuthority
 from wheelslip.routing.overload import (
-    LEAST_WAIT_SECONDS,
-    MOST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
+    MIN_ADMISSION_WAIT_SECONDS,
     AdmissionLimits,
     Overloaded,
-    Turns,
+    RetrySchedule,
 )
 from wheelslip.routing.placement import PlacementQuery
 from wheelslip.routing.tenant_limits import TenantLimited, TenantLimits
@@ -104,13 +104,14 @@
     for node in range(2, 6):
         again = serve(dispatcher, TicketId(f"n{node}", 1), query("5e55", f"o{node}"))
         assert again.worker is first.worker
-        assert again.read_tokens == 1000
+        assert again.prefill_tokens == 1000
 
 
 def test_a_prompt_is_read_once_while_many_ask_for_it():
     dispatcher = dispatcher_of(Clock())
     reads = [
-        dispatcher.ask(TicketId(f"n{n}", 1), query("5e55", f"o{n}")).read_tokens for n in range(3)
+        dispatcher.ask(TicketId(f"n{n}", 1), query("5e55", f"o{n}")).prefill_tokens
+        for n in range(3)
     ]
     # The first reads all of it; who comes meanwhile waits behind it and reads its own part.
     assert reads == [4000, 1000, 1000]
@@ -121,11 +122,11 @@
     reading = dispatcher.ask(TicketId("n1", 1), query("5e55", "o1"))
     elsewhere = frozenset({reading.worker.info.id})
     while_read = dispatcher.ask(TicketId("n2", 1), query("5e55", "o2", excluded=elsewhere))
-    assert while_read.read_tokens == 4000 and while_read.cache.fetch_from == STORE
+    assert while_read.prefill_tokens == 4000 and while_read.cache.fetch_from == STORE
     dispatcher.progress(TicketId("n2", 1), Progress.FAILED)
     dispatcher.progress(TicketId("n1", 1), Progress.FIRST_TOKEN)
     fetched = dispatcher.ask(TicketId("n3", 1), query("5e55", "o3", excluded=elsewhere))
-    assert fetched.read_tokens == 1000
+    assert fetched.prefill_tokens == 1000
     assert fetched.cache.fetch_from in (reading.worker.info.address, STORE)
 
 
@@ -133,21 +134,21 @@
     dispatcher = dispatcher_of(Clock(), workers=1)
     dispatcher.ask(TicketId("n1", 1), query("5e55"))
     dispatcher.progress(TicketId("n1", 1), Progress.FAILED)
-    assert dispatcher.ask(TicketId("n1", 2), query("5e55")).read_tokens == 4000
+    assert dispatcher.ask(TicketId("n1", 2), query("5e55")).prefill_tokens == 4000
 
 
 def test_a_new_dispatcher_learns_what_runs_and_what_is_kept():
     clock = Clock()
     old, new = dispatcher_of(clock), dispatcher_of(clock)
     kept = serve(old, TicketId("n1", 1), query("5e55", "o1"))
-    new.kept([KeptPrompt(kept.worker.info.id, kept.chain)])
+    new.kept([CachedPrompt(kept.worker.info.id, kept.chain)])
     assert new.ask(TicketId("n2", 1), query("5e55", "o2")).worker.info.id == kept.worker.info.id
     other = next(f"w{n}" for n in range(WORKERS) if f"w{n}" != kept.worker.info.id)
     running = RunningRequest(7, other, 1, (), 30_000, 30_010)
     new.running("n1", [7], [running])
-    assert new.placement.load(other).prompt_tokens == 30_000
-    new.running("n1", [7], [running._replace(unread_tokens=0)])
-    assert new.placement.load(other).prompt_tokens == 0
+    assert new.placement.load(other).prefill_tokens == 30_000
+    new.running("n1", [7], [running._replace(prefill_tokens=0)])
+    assert new.placement.load(other).prefill_tokens == 0
     assert new.placement.load(other).running == 1
 
 
@@ -180,7 +181,7 @@
     serve(dispatcher, TicketId("n2", 1), query("5e55", "o2"))
     dispatcher.progress(TicketId("n1", 1), Progress.UNREACHED)
     assert dispatcher.placement.load(held).suspect_until <= clock.now
-    clock.now += HEARD_SECONDS + 0.01
+    clock.now += RECENT_CONTACT_SECONDS + 0.01
     dispatcher.ask(TicketId("n1", 2), query("5e55", "o3"))
     dispatcher.progress(TicketId("n1", 2), Progress.UNREACHED)
     assert dispatcher.placement.load(held).suspect_until > clock.now
@@ -207,7 +208,7 @@
     assert 1.0 < refused.value.retry_seconds < 2.0
     assert dispatcher.granted == WORKERS and dispatcher.held_back == 1
     # One that has been at a worker before goes on.
-    begun = dispatcher.ask(TicketId("n3", 1), query("5e55", target_seconds=1.0, begun=True))
+    begun = dispatcher.ask(TicketId("n3", 1), query("5e55", target_seconds=1.0, sent_before=True))
     assert begun is not None
     dispatcher.progress(TicketId("n3", 1), Progress.ENDED)
     # A kind of request with more patience still gets one, and so do all once one is read.
@@ -236,15 +237,15 @@
     assert limits.longest_wait(0, 0.8, 0.3) == pytest.approx(0.5)
     # A prompt that takes longer to read than its target may wait for half of that.
     assert limits.longest_wait(1, 0.8, 3.0) == pytest.approx(0.4)
-    assert limits.longest_wait(2, -1.0, 0.1) == LEAST_WAIT_SECONDS
+    assert limits.longest_wait(2, -1.0, 0.1) == MIN_ADMISSION_WAIT_SECONDS
 
 
 def test_refused_callers_come_back_one_after_the_other_and_not_before_there_is_room():
-    turns = Turns()
+    turns = RetrySchedule()
     told = [turns.retry_seconds(10.0, 0.5, 0.2) for _ in range(3)]
     assert told == pytest.approx([0.5, 0.7, 0.9])
     assert turns.retry_seconds(20.0, 0.1, 0.2) == pytest.approx(0.1)
-    assert turns.retry_seconds(20.0, 1e9, 0.2) == MOST_RETRY_SECONDS
+    assert turns.retry_seconds(20.0, 1e9, 0.2) == MAX_RETRY_SECONDS
 
 
 def limited(session: str, own: str = "own", **changes) -> PlacementQuery:
--- a/tests/unit/forwarding/test_worker_allowance.py
+++ b/tests/unit/forwarding/test_worker_allowance.py
@@ -210,14 +210,14 @@
     fill(clock, allowance)
     chosen = [choice.choose(QUERY, clock.now) for _ in range(3)]
     assert [one.worker.info.id for one in chosen] == [LIMITED, OTHER, OTHER]
-    assert [one.is_counted for one in chosen] == [True, False, False]
+    assert [one.rate_limit_charged for one in chosen] == [True, False, False]
 
 
 def test_callers_that_find_all_workers_at_their_limits_are_told_turns(allowance, limits, clock):
     choice = LimitedChoice(_Placement(LIMITED), allowance)
     limits.note_limit(LIMITED, 2.0)
     fill(clock, allowance)
-    assert choice.choose(QUERY, clock.now).is_counted
+    assert choice.choose(QUERY, clock.now).rate_limit_charged
     told = []
     for _ in range(4):
         with pytest.raises(Overloaded) as caught:
