--- a/src/wheelslip/forwarding/__init__.py
+++ b/src/wheelslip/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of opaque requests to workers: callers' service, routes, dispatch, answers."""
+"""Forwarding of opaque requests to workers: servers, routing, dispatch and responses."""
--- a/src/wheelslip/forwarding/admission.py
+++ b/src/wheelslip/forwarding/admission.py
@@ -1,7 +1,7 @@
-"""Admission of a forwarded request: headers, route, key and deadline.
+"""Admission of forwarded requests: headers, route, API key and deadline.
 
-What a node refuses for good (401, 404) it refuses only by a view that is young enough;
-otherwise the caller is told to come back.
+Permanent errors (401, 404) are returned only if the registry view is recent; with a stale view the
+caller receives a retryable error instead.
 """
 
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 from wheelslip.forwarding.settings import BoundsSection
 
 UNKNOWN_AGE_SECONDS = 2.0
-"""A route or key that is not known is refused for good only by a view younger than this."""
+"""Maximum age of the view by which unknown routes and keys are rejected permanently."""
 
-KEY_AGE_SHARE = 0.7
-"""Keys are honoured while the view is younger than this share of the revocation bound."""
+KEY_VIEW_AGE_SHARE = 0.7
+"""Maximum age of the view by which API keys are accepted, as a share of the revocation bound."""
 
 
 class Admission:
-    """Turns received requests into jobs, or refuses them."""
+    """Validates received requests and creates their jobs."""
 
     def __init__(
         self,
@@ -37,9 +37,9 @@
         self._bounds = bounds
 
     def admit(self, received: ReceivedRequest) -> Job:
-        """Return the job of a request.
+        """Validate a request and return its job.
 
-        :raises WheelslipError: when it is refused.
+        :raises WheelslipError: if the request is rejected.
         """
         return self._admit(self._decode(received))
 
@@ -62,10 +62,10 @@
     def _admit(self, request: ForwardedRequest) -> Job:
         configuration = self._registry.configuration
         if configuration is None:
-            raise WheelslipError(ErrorKind.NOT_READY, "no configuration is known yet")
+            raise WheelslipError(ErrorKind.NOT_READY, "no configuration is loaded yet")
         route = configuration.match(request.host, request.path)
         if route is None:
-            self._refuse_unknown(ErrorKind.PATH_NOT_FOUND, "no route for this host and path")
+            self._reject_unknown(ErrorKind.PATH_NOT_FOUND, "no route for this host and path")
         tenant = self._tenant(configuration, route, request)
         deadline = request.arrived + route.timeout_seconds
         if request.metadata.deadline_seconds is not None:
@@ -74,9 +74,9 @@
             request,
             route,
             tenant,
-            _wall(configuration, tenant),
+            _cache_namespace(configuration, tenant),
             deadline,
-            delivered=request.metadata.last_event_id,
+            last_delivered_id=request.metadata.last_event_id,
         )
 
     def _tenant(
@@ -84,27 +84,30 @@
     ) -> Tenant | None:
         if route.public or not configuration.keys_required:
             return None
-        oldest = KEY_AGE_SHARE * self._bounds().key_revocation_ms / 1000
+        oldest = KEY_VIEW_AGE_SHARE * self._bounds().key_revocation_ms / 1000
         if self._registry.age() > oldest:
-            raise WheelslipError(ErrorKind.NOT_READY, "keys cannot be confirmed just now")
+            raise WheelslipError(ErrorKind.NOT_READY, "API keys cannot be verified at present")
         tenant = configuration.tenants_by_key.get(request.metadata.api_key or "")
         if tenant is None:
-            self._refuse_unknown(ErrorKind.AUTHENTICATION_FAILED, "the key is not known")
+            self._reject_unknown(ErrorKind.AUTHENTICATION_FAILED, "unknown API key")
         return tenant
 
-    def _refuse_unknown(self, kind: ErrorKind, message: str) -> None:
-        """Refuse for good only what a current view does not know."""
+    def _reject_unknown(self, kind: ErrorKind, message: str) -> None:
+        """Reject an unknown route or key, permanently only if the view is recent.
+
+        :raises WheelslipError: always.
+        """
         if self._registry.age() > UNKNOWN_AGE_SECONDS:
-            raise WheelslipError(ErrorKind.NOT_READY, "the configuration is not confirmed")
+            raise WheelslipError(ErrorKind.NOT_READY, "the configuration may be stale")
         raise WheelslipError(kind, message)
 
 
-def _wall(configuration: RoutingConfiguration, tenant: Tenant | None) -> str:
-    """Return the text that keeps the cached state of isolated tenants apart.
+def _cache_namespace(configuration: RoutingConfiguration, tenant: Tenant | None) -> str:
+    """Return the namespace of cached prompts that separates isolated tenants from all others.
 
-    The shared text covers the names of all isolated tenants, so that nothing made while a
-    tenant still shared is used after it has become isolated. Names are hashed, since they
-    may hold what no header may.
+    The shared namespace depends on the names of all isolated tenants, so that prompts cached before
+    a tenant became isolated are not reused afterwards. Names are hashed, as they may contain
+    characters that are not allowed in headers.
     """
     if tenant is not None and tenant.isolated:
         return "t" + xxhash.xxh3_64_hexdigest(tenant.name.encode())
--- a/src/wheelslip/forwarding/answers.py
+++ b/src/wheelslip/forwarding/answers.py
@@ -1,11 +1,11 @@
-"""Answers that a node gives by itself, all from the error table."""
+"""Error responses that a node returns itself."""
 
 import msgspec
 
 from wheelslip.deployment import Headers
 from wheelslip.errors import WheelslipError
 
-_REASONS = {
+_REASON_PHRASES = {
     400: b"Bad Request",
     401: b"Unauthorized",
     404: b"Not Found",
@@ -21,12 +21,12 @@
 
 
 def reason_phrase(status: int) -> bytes:
-    """Return the reason phrase of a status that a node answers with."""
-    return _REASONS.get(status, b"Error")
+    """Return the reason phrase of a status code."""
+    return _REASON_PHRASES.get(status, b"Error")
 
 
-def error_answer(error: WheelslipError, request_id: str | None) -> tuple[int, Headers, bytes]:
-    """Return status, headers and body of an error."""
+def error_response(error: WheelslipError, request_id: str | None) -> tuple[int, Headers, bytes]:
+    """Return status code, headers and body of the response for an error."""
     body = msgspec.json.encode(error.body(request_id))
     headers = [(b"Content-Type", b"application/json"), (b"Content-Length", b"%d" % len(body))]
     if error.retry_after_seconds is not None:
--- a/src/wheelslip/forwarding/assignment.py
+++ b/src/wheelslip/forwarding/assignment.py
@@ -1,4 +1,4 @@
-"""Finds a worker for each request: by the dispatcher of its service, or by this node alone."""
+"""Assignment of workers to requests, by the dispatcher of the service or by this node alone."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,12 @@
 
 
 class Assignment:
-    """A request's worker; whatever happens there is told to all who keep account of it.
+    """A request's worker; records the progress of the request and reports it to the dispatcher.
 
-    :param allowance: where the request was counted if this node chose by itself.
-    :param grant: ``None`` when this node chose by itself.
+    :param records: load and failure records of this node.
+    :param allowance: charged for the worker's rate limit if this node chose the worker itself.
+    :param link: used to report the progress of a granted request.
+    :param grant: the dispatcher's grant, or ``None`` if this node chose the worker itself.
     """
 
     def __init__(
@@ -34,7 +36,7 @@
         self._allowance = allowance
         self._link = link
         self._grant = grant
-        self._began_at = 0.0
+        self._started_at = 0.0
         self._failed = False
         self._not_run = False
         self._silent = False
@@ -46,63 +48,64 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the worker did not acknowledge what it was sent."""
+        """Whether the worker did not acknowledge the data sent to it."""
         return self._silent
 
     def begin(self) -> None:
-        """The request is sent."""
-        self._began_at = self._records.begin(self.placement)
+        """Record that the request is about to be sent."""
+        self._started_at = self._records.begin(self.placement)
 
-    def first_token(self) -> None:
-        """The worker has made the first token."""
-        self._records.first_token(self.placement, self._began_at)
-        self._tell(Progress.FIRST_TOKEN)
+    def record_first_token(self) -> None:
+        """Record that the worker produced the first token."""
+        self._records.first_token(self.placement, self._started_at)
+        self._report(Progress.FIRST_TOKEN)
 
-    def note_outcome(self, failed: bool) -> None:
-        """The worker has served the request, or has not."""
+    def record_outcome(self, failed: bool) -> None:
+        """Record whether the worker failed to serve the request."""
         self._failed = failed
         self._records.note_outcome(self.placement.worker.info.id, failed)
 
-    def note_not_run(self, failed: bool) -> None:
-        """The worker has proved that it did not run the request.
+    def record_not_run(self, failed: bool) -> None:
+        """Record that the worker rejected the request without executing it.
 
-        :param failed: it did so by a fault, or since it is full.
+        :param failed: the worker had a fault or no capacity; ``False`` if the request was
+            addressed to another incarnation.
         """
         self._not_run = True
-        self.note_outcome(failed)
+        self.record_outcome(failed)
 
-    def unreached(self) -> None:
-        """No connection to the worker came up; nothing was sent."""
+    def record_unreachable(self) -> None:
+        """Record that no connection to the worker could be opened; nothing was sent."""
         self._records.suspect(self.placement.worker.info.id)
-        self._not_sent(Progress.UNREACHED)
+        self._finish_unsent(Progress.UNREACHED)
 
-    def note_silent(self) -> None:
-        """The worker does not acknowledge what it is sent."""
+    def record_silent(self) -> None:
+        """Record that the worker did not acknowledge the data sent to it."""
         self._silent = True
         self._records.suspect(self.placement.worker.info.id)
 
-    def unused(self) -> None:
-        """The request will not be sent to the worker."""
-        self._not_sent(Progress.UNUSED)
+    def record_unused(self) -> None:
+        """Record that the request will not be sent to the worker."""
+        self._finish_unsent(Progress.UNUSED)
 
-    def _not_sent(self, progress: Progress) -> None:
+    def _finish_unsent(self, progress: Progress) -> None:
         if self._grant is None and self.placement.is_counted:
             self._allowance.give_back(self.placement.worker.info.id)
-        self._tell(progress)
+        self._report(progress)
 
     def end(self, had_first_token: bool) -> None:
-        """The request is no longer at the worker."""
-        self._records.end(self.placement, self._began_at, had_first_token)
-        self._tell(self._ending())
+        """Record that the attempt at the worker has ended."""
+        self._records.end(self.placement, self._started_at, had_first_token)
+        self._report(self._final_progress())
 
-    def _ending(self) -> Progress:
+    def _final_progress(self) -> Progress:
         if self._not_run:
             return Progress.NOT_RUN if self._failed else Progress.UNUSED
         if self._silent:
             return Progress.SILENT
         return Progress.FAILED if self._failed else Progress.ENDED
 
-    def _tell(self, progress: Progress) -> None:
+    def _report(self, progress: Progress) -> None:
         if self._grant is not None:
             self._link.tell(self._grant, progress)
 
@@ -110,9 +113,13 @@
 class WorkerAssigner:
     """Assigns workers to the requests of this node.
 
-    :param link: ``None`` where nodes do not reach each other.
-    :param limits: of tenants, for a node without a link.
-    :param allowance: this node's own part of the limits that workers name.
+    :param zone: zone of this node.
+    :param records: load records of this node, also used to choose workers locally.
+    :param pool: workers with an idle connection are preferred.
+    :param link: link to dispatchers, or ``None`` if the node has no peer address.
+    :param limits: rate limits of tenants, applied if the node has no link.
+    :param allowance: this node's share of the rate limits of workers.
+    :param uses_dispatcher: returns whether the dispatcher chooses workers.
     """
 
     def __init__(
@@ -124,7 +131,7 @@
         link: DispatchLink | None,
         limits: TenantLimits,
         allowance: WorkerAllowance,
-        dispatches: Callable[[], bool],
+        uses_dispatcher: Callable[[], bool],
         clock: Callable[[], float],
     ):
         self._zone = zone
@@ -134,47 +141,50 @@
         self._link = link
         self._limits = limits
         self._allowance = allowance
-        self._own_choice = LimitedChoice(records, allowance)
-        self._dispatches = dispatches
+        self._local_choice = LimitedChoice(records, allowance)
+        self._uses_dispatcher = uses_dispatcher
         self._clock = clock
 
     async def assign(self, job: Job, service: str) -> Assignment | None:
-        """Return a worker for a request, ``None`` when none may take it now.
+        """Return an assignment for a request, or ``None`` if no worker is available now.
 
-        :raises Overloaded: when none can begin it in time.
-        :raises TenantLimited: when its tenant is over its limit.
-        :raises NoAuthority: when no node can count it for its tenant's limit just now.
+        :raises Overloaded: if no worker can start the request in time.
+        :raises TenantLimited: if the tenant has exceeded its rate limit.
+        :raises NoAuthority: if no node can check the tenant's rate limit at present.
         """
         query = self._query(job, service)
-        if self._link is not None and self._dispatches():
+        if self._link is not None and self._uses_dispatcher():
             try:
                 grant = await self._link.ask(query)
             except NoDispatcher:
-                await self._count(job, query)
+                await self._charge_quota(job, query)
             else:
                 return grant and self._assignment(grant.placement, grant)
         else:
-            await self._count(job, query)
-        placement = self._own_choice.choose(query, self._clock())
+            await self._charge_quota(job, query)
+        placement = self._local_choice.choose(query, self._clock())
         return placement and self._assignment(placement, None)
 
     def _assignment(self, placement: Placement, grant: Grant | None) -> Assignment:
         return Assignment(placement, self._records, self._allowance, self._link, grant)
 
-    async def _count(self, job: Job, query: PlacementQuery) -> None:
-        """Count a request, once, whose worker this node chooses by itself."""
+    async def _charge_quota(self, job: Job, query: PlacementQuery) -> None:
+        """Charge a request to the quota of its tenant, unless that was done before.
+
+        Requests granted by a dispatcher are charged there instead.
+        """
         if not query.limit_units:
             return
         if self._link is None:
             self._limits.take(query)
         else:
             await self._link.count(query)
-        job.counted = True
+        job.quota_charged = True
 
     def _query(self, job: Job, service: str) -> PlacementQuery:
         metadata = job.request.metadata
-        is_counted = job.counted or job.may_have_run
-        limit = job.tenant.limit if job.tenant and not is_counted else None
+        is_charged = job.quota_charged or job.may_have_run
+        limit = job.tenant.limit if job.tenant and not is_charged else None
         units = limit.units(metadata.prompt_tokens, metadata.output_tokens) if limit else 0.0
         return PlacementQuery(
             service,
@@ -183,15 +193,15 @@
             metadata.prompt_tokens,
             metadata.output_tokens,
             metadata.prompt,
-            job.wall,
+            job.cache_namespace,
             job.route.pause_seconds,
             job.request.arrived + job.route.target_seconds - self._clock(),
             job.priority,
             self._zone,
             self._pool.idle_workers(),
-            # They told this node alone: the dispatcher may grant them to others.
+            # Reported to this node only; the dispatcher may still grant these workers to others.
             self._registry.withheld(service) | job.excluded,
-            job.sent > 0,
+            job.attempts_sent > 0,
             job.tenant.name if limit else "",
             units,
         )
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One forwarded request at one worker: sending, reading the answer, passing it on."""
+"""One attempt of a forwarded request at one worker: send it, read the response, relay it."""
 
 import asyncio
 import enum
@@ -18,30 +18,34 @@
 from wheelslip.forwarding.event_stream import EventSplitter, StreamEvent
 from wheelslip.forwarding.http_client import HttpConnection, PeerLost
 from wheelslip.forwarding.interface import RequestDialect
-from wheelslip.forwarding.job import Job, WholeAnswer
+from wheelslip.forwarding.job import BufferedResponse, Job
 from wheelslip.forwarding.metrics import ForwardingMetrics
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.worker_pool import WorkerPool
 
-BEGIN_GUARD_SECONDS = 0.2
-"""A request that has not begun is taken back this long before its weights become too old."""
+WEIGHTS_EXPIRY_MARGIN_SECONDS = 0.2
+"""A request without a first token is cancelled this long before its weights version expires."""
 
-BEGIN_CHECK_SECONDS = 1.0
+WEIGHTS_CHECK_SECONDS = 1.0
+"""Longest interval between two checks of the expiry of the weights version."""
 
-MAX_WHOLE_BYTES = 4 * 1024 * 1024
-"""Largest answer collected before it is passed on; larger ones end the request."""
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024
+"""Maximum size of the body of a buffered response; the attempt fails if it is exceeded."""
 
-LEAST_URGENT = 9
-"""Greatest number of a priority; 0 is the most urgent."""
+LOWEST_PRIORITY = 9
+"""Highest priority number accepted by workers; 0 is the most urgent."""
 
-_WITHOUT_BODY = frozenset({"GET", "HEAD", "DELETE"})
-"""Methods that are sent without a length when they have no body."""
+_BODYLESS_METHODS = frozenset({"GET", "HEAD", "DELETE"})
+"""Methods that are sent without ``Content-Length`` if the request has no body."""
 
 
 class AttemptOutcome(enum.Enum):
-    """How one attempt at one worker ended.
+    """Outcome of one attempt at one worker.
 
-    ``WITHHELD`` means that nothing was sent, since the worker wants nothing now.
+    ``ANSWERED``: the response was forwarded. ``WITHHELD``: not sent, as the worker does not accept
+    requests now. ``NOT_SENT``: no connection could be opened. ``NOT_RUN``: the worker rejected the
+    request before execution. ``LOST``: the response was lost or invalid. ``FAILED``: the worker
+    returned a server error.
     """
 
     ANSWERED = "answered"
@@ -54,7 +58,7 @@
 
 @dataclass(frozen=True)
 class AttemptServices:
-    """What attempts use of their node."""
+    """Services of the node that attempts use."""
 
     dialect: RequestDialect
     registry: Registry
@@ -63,15 +67,15 @@
     clock: Callable[[], float]
 
 
-def pass_on_whole(answer: WholeAnswer, caller: CallerConnection) -> None:
-    """Write a worker's whole answer to the caller."""
+def write_buffered_response(answer: BufferedResponse, caller: CallerConnection) -> None:
+    """Write a buffered response of a worker to the caller."""
     headers = end_to_end_headers(answer.response)
     if answer.response.status_code not in (204, 304):
         headers.append((b"Content-Length", b"%d" % len(answer.body)))
-    caller.start(answer.response.status_code, headers)
+    caller.write_head(answer.response.status_code, headers)
     if answer.body:
-        caller.data(answer.body)
-    caller.end()
+        caller.write_body(answer.body)
+    caller.write_end()
 
 
 _HOP_BY_HOP = frozenset(
@@ -89,7 +93,7 @@
 
 
 def end_to_end_headers(response: h11.Response) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer that concern more than one connection."""
+    """Return the headers of a response without the hop-by-hop headers."""
     return [
         (raw, value)
         for raw, value in response.headers.raw_items()
@@ -98,7 +102,11 @@
 
 
 class Attempt:
-    """One request at one worker, until its answer is passed on or the attempt has failed."""
+    """One attempt of a request at one worker.
+
+    :ivar had_first_token: part of a streamed response has been forwarded.
+    :ivar released: the connection was returned to the pool.
+    """
 
     def __init__(
         self,
@@ -116,61 +124,61 @@
         self._caller = caller
         self.had_first_token = False
         self._sent_at = services.clock()
-        self._guard: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self.released = False
 
     def finish(self) -> None:
-        """End the attempt, however it went."""
-        if self._guard is not None:
-            self._guard.cancel()
+        """Stop the expiry timer, and close the connection unless it was returned to the pool."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         if not self.released:
             self._connection.close()
 
-    def _watch_beginning(self) -> None:
-        """Take a request back that has not begun when its weights become too old.
+    def _cancel_if_weights_expire(self) -> None:
+        """Cancel the request if its weights version expires before the first token.
 
-        Newer weights may be named while it waits, so the bound is looked up again and again.
+        The expiry is checked periodically, as newer weights may be announced in the meantime.
         """
         if self._placement.weights_version is None or self.had_first_token:
             return
-        until = self._services.registry.begins_until(
+        expires_at = self._services.registry.begins_until(
             self._job.request.metadata.model, self._placement.weights_version
         )
-        remaining = until - BEGIN_GUARD_SECONDS - self._services.clock()
+        remaining = expires_at - WEIGHTS_EXPIRY_MARGIN_SECONDS - self._services.clock()
         if remaining <= 0:
             self._connection.close()
             return
-        self._guard = asyncio.get_running_loop().call_later(
-            min(remaining, BEGIN_CHECK_SECONDS), self._watch_beginning
+        self._expiry_timer = asyncio.get_running_loop().call_later(
+            min(remaining, WEIGHTS_CHECK_SECONDS), self._cancel_if_weights_expire
         )
 
     async def run(self) -> AttemptOutcome:
-        """Send, read and pass on."""
+        """Send the request and relay the response."""
         job = self._job
-        job.sent += 1
+        job.attempts_sent += 1
         job.may_have_run += 1
-        self._watch_beginning()
+        self._cancel_if_weights_expire()
         try:
             self._send()
             response, answer = await self._read_head()
-            self._note_answer(response.status_code, answer)
+            self._record_worker_state(response.status_code, answer)
             if answer.not_executed or response.status_code == 421:
-                return await self._not_run(response, answer)
+                return await self._finish_not_run(response, answer)
             is_stream = job.route.kind is RouteKind.STREAM
             if is_stream and 200 <= response.status_code < 300:
                 return await self._relay_stream(response, answer)
-            return await self._relay_whole(response, answer)
+            return await self._relay_buffered(response, answer)
         except PeerLost as error:
-            job.reason = str(error)
-            self._note_outcome(failed=True)
+            job.failure_reason = str(error)
+            self._record_outcome(failed=True)
             if error.silent:
-                self._assignment.note_silent()
+                self._assignment.record_silent()
             return AttemptOutcome.LOST
 
     def _send(self) -> None:
         request = self._job.request
         headers = self._services.dialect.worker_headers(request, self._dispatch())
-        if request.body or request.method not in _WITHOUT_BODY:
+        if request.body or request.method not in _BODYLESS_METHODS:
             headers.append((b"Content-Length", b"%d" % len(request.body)))
         self._connection.send(request.method, request.target, headers, request.body)
 
@@ -179,17 +187,17 @@
         return Dispatch(
             worker=placement.worker.info,
             remaining_seconds=max(0.001, job.deadline - self._services.clock()),
-            priority=max(0, min(LEAST_URGENT, job.priority)) if placement.chain else None,
+            priority=max(0, min(LOWEST_PRIORITY, job.priority)) if placement.chain else None,
             tenant=job.tenant.name if job.tenant else None,
             weights_version=placement.weights_version,
             cache=placement.cache,
-            last_event_id=job.delivered,
+            last_event_id=job.last_delivered_id,
         )
 
     async def _read_head(self) -> tuple[h11.Response, AnswerMetadata]:
-        """Read the head of the answer to this request, passing over others'.
+        """Read the response head, skipping responses to other requests.
 
-        :raises PeerLost: when none comes.
+        :raises PeerLost: if the connection ends first.
         """
         while True:
             response = await self._connection.next_event()
@@ -200,69 +208,73 @@
                 pass
             self._connection.skip_foreign_answer()
 
-    def _note_answer(self, status: int, answer: AnswerMetadata) -> None:
-        """Learn from an answer what the worker tells of itself."""
+    def _record_worker_state(self, status: int, answer: AnswerMetadata) -> None:
+        """Record the worker state reported in the response headers."""
         registry, info = self._services.registry, self._placement.worker.info
         model = self._job.request.metadata.model
         if answer.instance is not None and answer.instance != info.worker_id:
-            # Another process answers there; what it says of itself says nothing of the one meant.
+            # Another process listens at the address; its headers do not describe this worker.
             registry.mark_replaced(info.id)
             return
         registry.notices.heard(info, status, answer, AnswerSource.REQUEST, self._sent_at)
         if answer.weights_version is not None and model:
             registry.note_weights(info.id, model, answer.weights_version)
 
-    def _note_outcome(self, failed: bool) -> None:
-        self._assignment.note_outcome(failed)
+    def _record_outcome(self, failed: bool) -> None:
+        self._assignment.record_outcome(failed)
 
-    def _note_first_token(self) -> None:
+    def _record_first_token(self) -> None:
         now = self._services.clock()
         self._job.first_event_at = self._job.first_event_at or now
         self._services.metrics.first_byte.observe(now - self._job.request.arrived)
-        self._assignment.first_token()
+        self._assignment.record_first_token()
 
-    async def _not_run(self, response: h11.Response, answer: AnswerMetadata) -> AttemptOutcome:
-        # Proven by the head alone; the rest only decides about the connection.
+    async def _finish_not_run(
+        self, response: h11.Response, answer: AnswerMetadata
+    ) -> AttemptOutcome:
+        # The head is sufficient proof; the body is read only to make the connection reusable.
         self._job.may_have_run -= 1
-        self._assignment.note_not_run(failed=response.status_code != 421)
-        self._job.reason = f"status {response.status_code}, not executed"
+        self._assignment.record_not_run(failed=response.status_code != 421)
+        self._job.failure_reason = f"status {response.status_code}, not executed"
         try:
-            await self._read_rest()
+            await self._read_body()
         except PeerLost:
             return AttemptOutcome.NOT_RUN
-        self._release(answer)
+        self._release_connection(answer)
         return AttemptOutcome.NOT_RUN
 
-    async def _read_rest(self) -> bytes:
+    async def _read_body(self) -> bytes:
         body = bytearray()
         while True:
             event = await self._connection.next_event()
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             body += event.data
-            if len(body) > MAX_WHOLE_BYTES:
-                raise PeerLost("answer larger than a node collects")
+            if len(body) > MAX_BUFFERED_BYTES:
+                raise PeerLost("response larger than the buffer limit")
 
-    def _release(self, answer: AnswerMetadata) -> None:
+    def _release_connection(self, answer: AnswerMetadata) -> None:
         self.released = True
         self._services.pool.release(self._placement.worker.info, self._connection, answer)
 
-    async def _relay_whole(self, response: h11.Response, answer: AnswerMetadata) -> AttemptOutcome:
-        body = await self._read_rest()
-        self._release(answer)
-        whole = WholeAnswer(response, body)
+    async def _relay_buffered(
+        self, response: h11.Response, answer: AnswerMetadata
+    ) -> AttemptOutcome:
+        body = await self._read_body()
+        self._release_connection(answer)
+        buffered = BufferedResponse(response, body)
         succeeded = 200 <= response.status_code < 300
         if succeeded and not answer.signed:
             raise PeerLost("success without a signature")
         failed = response.status_code >= 500
-        self._note_outcome(failed=failed)
+        self._record_outcome(failed=failed)
         if failed:
-            self._job.failure = whole
-            self._job.reason = f"status {response.status_code}"
+            self._job.failed_response = buffered
+            self._job.failure_reason = f"status {response.status_code}"
             return AttemptOutcome.FAILED
-        if self._caller.answer_started:
+        if self._caller.response_started:
             raise PeerLost(f"status {response.status_code} to a resumed stream")
-        pass_on_whole(whole, self._caller)
+        write_buffered_response(buffered, self._caller)
         return AttemptOutcome.ANSWERED
 
     async def _relay_stream(self, response: h11.Response, answer: AnswerMetadata) -> AttemptOutcome:
@@ -273,35 +285,35 @@
             event = await self._connection.next_event()
             if isinstance(event, h11.EndOfMessage):
                 break
-            self._pass_events(response, splitter.feed(bytes(event.data)))
-            await self._caller.drained()
+            self._forward_events(response, splitter.feed(bytes(event.data)))
+            await self._caller.drain()
         if splitter.incomplete:
             raise PeerLost("stream ended inside an event")
-        self._release(answer)
-        self._note_outcome(failed=False)
+        self._release_connection(answer)
+        self._record_outcome(failed=False)
         self._start_stream(response)
-        self._caller.end()
+        self._caller.write_end()
         return AttemptOutcome.ANSWERED
 
     def _start_stream(self, response: h11.Response) -> None:
-        if not self._caller.answer_started:
+        if not self._caller.response_started:
             headers = [*end_to_end_headers(response), (b"Transfer-Encoding", b"chunked")]
-            self._caller.start(response.status_code, headers)
-
-    def _pass_events(self, response: h11.Response, events: list[StreamEvent]) -> None:
-        delivered = self._job.delivered
-        fresh = [
-            one
-            for one in events
-            if one.id is None or one.id > (-1 if delivered is None else delivered)
+            self._caller.write_head(response.status_code, headers)
+
+    def _forward_events(self, response: h11.Response, events: list[StreamEvent]) -> None:
+        last_id = self._job.last_delivered_id
+        new_events = [
+            event
+            for event in events
+            if event.id is None or event.id > (-1 if last_id is None else last_id)
         ]
-        if not fresh:
+        if not new_events:
             return
         if not self.had_first_token:
             self.had_first_token = True
-            self._note_first_token()
+            self._record_first_token()
         self._start_stream(response)
-        self._caller.data(b"".join(one.raw for one in fresh))
-        ids = [one.id for one in fresh if one.id is not None]
+        self._caller.write_body(b"".join(event.raw for event in new_events))
+        ids = [event.id for event in new_events if event.id is not None]
         if ids:
-            self._job.delivered = ids[-1]
+            self._job.last_delivered_id = ids[-1]
--- a/src/wheelslip/forwarding/content_trials.py
+++ b/src/wheelslip/forwarding/content_trials.py
@@ -1,7 +1,8 @@
-"""Who may run a request whose content is suspected: one at a time of a service, in the whole fleet.
+"""Locks in the store that serialize trial runs of suspected requests.
 
-What is always sent together with the cause, and ended with it at the same engines, runs whole as soon
-as it runs without it. The turn is a key of the store; it is taken at a revision, so one node has it.
+A request is suspected if workers crashed while running it. At most one suspected request of a
+service runs at a time across all nodes, so that harmless requests that ran next to the actual cause
+can complete. A lock is a key written with compare-and-swap, so only one node can acquire it.
 """
 
 from collections.abc import Callable
@@ -14,27 +15,27 @@
 
 TRIALS_PREFIX = "wheelslip/trials/"
 
-VOID_SECONDS = 6.0
-"""A turn that has stood for so long is void: its node may have died. An engine that ends under a
-request ends as it begins to run it, and evidence of that takes 4 s at most."""
+LOCK_EXPIRY_SECONDS = 6.0
+"""A lock expires this long after its key last changed in the registry view."""
 
-
-TAKE_PAUSE_SECONDS = 0.25
-"""Pause of a node between two tries to take a turn, so that a content which many ask for costs the store
-four calls a second and node at most, whose view shows another's turn 0.1 to 0.3 s late."""
+ACQUIRE_RETRY_SECONDS = 0.25
+"""Minimum interval between two attempts of a node to acquire a lock; limits the load on the store."""
 
 
 class Trial(NamedTuple):
-    """A turn that this node has."""
+    """A trial lock held by this node.
+
+    :ivar revision: store revision at which the lock was acquired.
+    """
 
     key: str
     revision: int
 
 
-class ContentTrials:
-    """Takes and gives back turns.
+class TrialLocks:
+    """Acquires and releases trial locks, one per service.
 
-    :param node: name of this node, for readers of the store.
+    :param node: name of this node, stored as the value of the key.
     """
 
     def __init__(
@@ -44,25 +45,28 @@
         self._store = store
         self._registry = registry
         self._clock = clock
-        self._void_at: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
         self._next_try_at: dict[str, float] = {}
 
     def entry_changed(self, key: str) -> None:
-        """Take a change of one of the system's own keys into account."""
+        """Update the expiry of a lock after its key changed in the registry view."""
         if not key.startswith(TRIALS_PREFIX):
             return
         if self._registry.own_entry(key) is None:
-            self._void_at.pop(key, None)
+            self._expires_at.pop(key, None)
         else:
-            self._void_at[key] = self._clock() + VOID_SECONDS
+            self._expires_at[key] = self._clock() + LOCK_EXPIRY_SECONDS
+
+    async def acquire(self, service: str) -> Trial | None:
+        """Try to acquire the trial lock of a service.
 
-    async def take(self, service: str) -> Trial | None:
-        """Take the turn of a service, ``None`` when another has it or the store cannot tell."""
+        :return: ``None`` if another node holds the lock or the store is unavailable.
+        """
         key = TRIALS_PREFIX + service
         now = self._clock()
-        if now < max(self._void_at.get(key, 0.0), self._next_try_at.get(key, 0.0)):
+        if now < max(self._expires_at.get(key, 0.0), self._next_try_at.get(key, 0.0)):
             return None
-        self._next_try_at[key] = now + TAKE_PAUSE_SECONDS
+        self._next_try_at[key] = now + ACQUIRE_RETRY_SECONDS
         entry = self._registry.own_entry(key)
         expected = {key: entry[1] if entry else 0}
         try:
@@ -73,10 +77,10 @@
             return None
         return Trial(key, result.revision) if result.succeeded else None
 
-    async def give_back(self, trial: Trial) -> None:
-        """Leave the turn to others; one that cannot be given back becomes void."""
-        change = Transaction({trial.key: trial.revision}, (Delete(trial.key),))
+    async def release(self, lock: Trial) -> None:
+        """Release a lock; if the store is unavailable, the lock expires instead."""
+        release = Transaction({lock.key: lock.revision}, (Delete(lock.key),))
         try:
-            await self._store.transact(change)
+            await self._store.transact(release)
         except KeyValueError as exc:
-            log_event(LogEvent.LEASE_CALL_FAILED, duty=trial.key, reason=str(exc))
+            log_event(LogEvent.LEASE_CALL_FAILED, duty=lock.key, reason=str(exc))
--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -1,8 +1,8 @@
-"""Keeps a request that ends the engines which run it from engine after engine.
+"""Protection of workers against requests that crash them.
 
-A caller repeats such a request as a new one, at any node; no node's own bounds on attempts see that.
-See :mod:`wheelslip.routing.crash_ledger` for when a content is suspected, refused and free again.
-Without this, 16 repeats at three nodes ended 16 to 19 engines, with it 3 or 4 (probe with stand-ins).
+A caller may repeat such a request under new ids and at any node, which the retry limits of a single
+request do not prevent. See :mod:`wheelslip.routing.crash_ledger` for when a request fingerprint is
+suspected, refused and accepted again.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 from wheelslip.deployment import Incarnation, WorkerInfo
 from wheelslip.errors import ErrorKind, WheelslipError
-from wheelslip.forwarding.content_trials import ContentTrials, Trial
+from wheelslip.forwarding.content_trials import Trial, TrialLocks
 from wheelslip.forwarding.crash_evidence import CrashEvidence
 from wheelslip.forwarding.crash_reports import CrashReports
 from wheelslip.forwarding.interface import KeyValueStore
@@ -21,10 +21,10 @@
 
 
 class CrashGuard:
-    """A node's view of contents that end engines, and its part in telling and trying them.
+    """Admits, serializes or refuses requests by the crashes recorded for their fingerprints.
 
     :param node: name of this node, the same after a restart.
-    :ivar reports: the task that tells other nodes.
+    :ivar reports: exchange of crash reports with other nodes.
     """
 
     def __init__(
@@ -37,27 +37,29 @@
     ):
         self._ledger = CrashLedger(clock)
         self.reports = CrashReports(node, store, registry, self._ledger, clock, random_source)
-        self._trials = ContentTrials(node, store, registry, clock)
+        self._trial_locks = TrialLocks(node, store, registry, clock)
         self._registry = registry
         self._evidence = CrashEvidence(registry, self.reports.add, self._ledger.ended_at, clock)
-        self._ending: set[asyncio.Task] = set()
+        self._pending_releases: set[asyncio.Task] = set()
 
     def entry_changed(self, key: str) -> None:
-        """Take a change of one of the system's own keys into account."""
+        """Process a change of a crash report or trial lock in the registry view."""
         self.reports.entry_changed(key)
-        self._trials.entry_changed(key)
+        self._trial_locks.entry_changed(key)
 
     def refused_contents(self) -> int:
-        """Return the number of contents that are refused now."""
+        """Return the number of fingerprints that are refused now."""
         return self._ledger.refused()
 
     async def admit(self, job: Job, service: str) -> Trial | None:
-        """Let a request pass; return the turn that it has, if its content is suspected.
+        """Check a request before it is sent to a worker.
 
-        :raises WheelslipError: when it is not sent to any engine now.
+        :return: the acquired trial lock if the request is suspected, otherwise ``None``.
+        :raises WheelslipError: if the request is refused, or is suspected and the trial lock is not
+            available.
         """
         if not self._ledger:
-            # No engine has ended under anything: the content is not even looked at.
+            # No crash is recorded at all; skip the computation of the fingerprint.
             return None
         match self._ledger.standing(job.fingerprint):
             case Standing.FREE:
@@ -65,37 +67,46 @@
             case Standing.REFUSED:
                 seconds = max(1.0, round(self._ledger.refused_seconds(job.fingerprint)))
                 kind = ErrorKind.REQUEST_CRASHES_ENGINES
-                raise WheelslipError(kind, "engines ended under this content", seconds)
-        trial = await self._trials.take(service)
-        if trial is None:
+                raise WheelslipError(kind, "engines crashed while running this request", seconds)
+        trial_lock = await self._trial_locks.acquire(service)
+        if trial_lock is None:
             kind = ErrorKind.REQUEST_SUSPECTED
-            raise WheelslipError(kind, "engines ended under this content; others are tried first")
-        job.excluded |= self._ended_starts()
-        return trial
+            raise WheelslipError(
+                kind, "engines crashed while running this request; its trial run must wait"
+            )
+        job.excluded |= self._ended_incarnations()
+        return trial_lock
 
-    def _ended_starts(self) -> set[Incarnation]:
-        """Return the engines in view that are known to have ended: a trial there shows nothing."""
-        return {one for one in self._registry.workers if self._ledger.ended_at(one) is not None}
+    def _ended_incarnations(self) -> set[Incarnation]:
+        """Return the worker incarnations in the registry that are recorded as crashed.
 
-    def lost(self, job: Job, worker: WorkerInfo) -> None:
-        """An engine broke a request's answer off."""
+        They are excluded from trials, since a failure there is no evidence against the request.
+        """
+        return {
+            incarnation
+            for incarnation in self._registry.workers
+            if self._ledger.ended_at(incarnation) is not None
+        }
+
+    def record_lost_response(self, job: Job, worker: WorkerInfo) -> None:
+        """Start to check whether a worker that lost a response has crashed."""
         self._evidence.lost(job.fingerprint, worker, job.on_trial, job.last_sent_at)
 
-    def ran_whole(self, job: Job) -> None:
-        """A request has run whole."""
+    def record_completed(self, job: Job) -> None:
+        """Record that a request was executed completely, which clears its crashes."""
         if self._ledger and self._ledger.crashes(job.fingerprint):
             self.reports.add_whole_run(job.fingerprint)
 
-    def end_trial(self, trial: Trial, job: Job) -> None:
-        """Give a turn back, once it is known how the request ended and others have been told."""
-        task = asyncio.get_running_loop().create_task(self._end_trial(trial, job))
-        self._ending.add(task)
-        task.add_done_callback(self._ending.discard)
+    def end_trial(self, trial_lock: Trial, job: Job) -> None:
+        """Release a trial lock in the background, once the result is known and was reported."""
+        task = asyncio.get_running_loop().create_task(self._end_trial(trial_lock, job))
+        self._pending_releases.add(task)
+        task.add_done_callback(self._pending_releases.discard)
 
-    async def _end_trial(self, trial: Trial, job: Job) -> None:
-        if job.last_start is not None:
-            await self._evidence.settled(job.last_start)
+    async def _end_trial(self, trial_lock: Trial, job: Job) -> None:
+        if job.last_incarnation is not None:
+            await self._evidence.settled(job.last_incarnation)
         await self.reports.written()
-        # Until the verdict, whichever it is, nobody else may try the content at another engine.
+        # Keep the lock until reports of other nodes about the same crash have been received.
         await asyncio.sleep(self._ledger.news_seconds(job.fingerprint))
-        await self._trials.give_back(trial)
+        await self._trial_locks.release(trial_lock)
--- a/src/wheelslip/forwarding/event_stream.py
+++ b/src/wheelslip/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""Splitting of a server-sent event stream into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 import re
 from dataclasses import dataclass
@@ -9,30 +9,34 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event with its separator; ``id`` is ``None`` when it carries none."""
+    """One complete event.
+
+    :ivar raw: bytes of the event, including its separator.
+    :ivar id: ``None`` if the event has no numeric id.
+    """
 
     raw: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events; part of one is never given out."""
+    """Buffers received bytes and returns complete events only."""
 
     def __init__(self):
         self._rest = b""
 
     @property
     def incomplete(self) -> bool:
-        """Whether bytes of an unfinished event are held."""
+        """Whether part of an event is buffered."""
         return bool(self._rest.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that became whole."""
+        """Add received bytes and return the events completed by them."""
         self._rest += data
         events = []
         while match := _SEPARATOR.search(self._rest):
             raw = self._rest[: match.end()]
             self._rest = self._rest[match.end() :]
-            found = _ID.search(raw)
-            events.append(StreamEvent(raw, int(found.group(1)) if found else None))
+            id_match = _ID.search(raw)
+            events.append(StreamEvent(raw, int(id_match.group(1)) if id_match else None))
         return events
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""The life of one forwarded request: route, key, worker, attempts, answer.
+"""Handling of a forwarded request: admission, worker assignment, attempts and retries.
 
-What was sent and lost is sent again only where its route allows repeats, the retry budget
-has room and the deadline leaves time; what is answered as not run was proven not run at
-every worker it reached.
+A request whose response was lost is retried only if its route is repeatable, the retry budget
+allows it and its deadline has not passed. An error that reports a request as not executed is
+returned only if no worker can have executed it.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 from wheelslip.errors import ErrorKind, WheelslipError
 from wheelslip.events import LogBudget, LogEvent, log_event
 from wheelslip.forwarding.admission import UNKNOWN_AGE_SECONDS, Admission
-from wheelslip.forwarding.answers import error_answer
+from wheelslip.forwarding.answers import error_response
 from wheelslip.forwarding.assignment import Assignment, WorkerAssigner
 from wheelslip.forwarding.attempt import (
     Attempt,
     AttemptOutcome,
     AttemptServices,
-    pass_on_whole,
+    write_buffered_response,
 )
 from wheelslip.forwarding.caller_connection import CallerConnection, ReceivedRequest
 from wheelslip.forwarding.crash_guard import CrashGuard
@@ -35,27 +35,28 @@
 from wheelslip.routing.split import SmoothSplit
 from wheelslip.routing.tenant_limits import NoAuthority, TenantLimited
 
-WORKER_NEWS_SECONDS = 0.2
-"""How long a request waits while its node knows no worker that may take it: changes of the store
-and a new dispatcher reach all nodes within this."""
+WORKER_WAIT_SECONDS = 0.2
+"""Longest time a request waits for a worker to become available; covers the propagation of store
+changes and the takeover by a new dispatcher."""
 
 NO_WORKER_RETRY_SECONDS = 0.4
-"""After how long its caller is to come back then: twice as long, since another node may know."""
+"""``Retry-After`` of a request for which no worker became available."""
 
-ASK_AGAIN_SECONDS = 0.08
-"""Pause before a worker is looked for again, when none could take a request."""
+ASSIGN_RETRY_SECONDS = 0.08
+"""Pause between two attempts to assign a worker, unless the registry changes earlier."""
 
-REST_TURN_SECONDS = 0.05
-"""Callers that are refused while all workers rest come back so far apart: just after a rest a worker
-gets one request at a time."""
+BACKOFF_RETRY_SPACING_SECONDS = 0.05
+"""Interval between the retry times of callers rejected during a backoff, after which a worker is
+first sent one request at a time."""
 
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 
 MAX_SENDS = 3
-"""Most workers one request is sent to, those that proved not to run it included."""
+"""Maximum number of workers tried for one request, including those that rejected it or were
+unreachable."""
 
 ANSWER_GRACE_SECONDS = 0.1
-"""A worker's own answer at the deadline is waited for this much longer."""
+"""Time after the deadline during which a worker may still return its own timeout response."""
 
 
 _PROVEN_NOT_RUN = frozenset(
@@ -63,14 +64,14 @@
 )
 
 _SERVED = frozenset({AttemptOutcome.ANSWERED, AttemptOutcome.FAILED})
-"""The worker ran the request and answered."""
+"""Outcomes of attempts in which the worker executed the request and responded."""
 
-REQUEST_LINES_PER_SECOND = 50.0
-"""Log lines about single requests and their attempts that one node writes on average."""
+REQUEST_LOG_LINES_PER_SECOND = 50.0
+"""Average rate limit of log lines about individual requests and attempts."""
 
 
 class Forwarder:
-    """Handles requests; one instance a node."""
+    """Handles all forwarded requests of one node."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
     ):
         self._crash_guard = crash_guard
         self._metrics = metrics
-        self._log = LogBudget(REQUEST_LINES_PER_SECOND, clock)
+        self._log = LogBudget(REQUEST_LOG_LINES_PER_SECOND, clock)
         self._dialect = dialect
         self._registry = registry
         self._assigner = assigner
@@ -95,39 +96,39 @@
         self._admission = Admission(dialect, registry, bounds)
         self._services = AttemptServices(dialect, registry, pool, metrics, clock)
         self._splits: dict[str, SmoothSplit] = {}
-        self._budgets: dict[str, RetryWindow] = {}
-        self._rest_turns: dict[str, Turns] = {}
+        self._retry_budgets: dict[str, RetryWindow] = {}
+        self._retry_schedules: dict[str, Turns] = {}
 
     async def handle(self, received: ReceivedRequest, caller: CallerConnection) -> None:
-        """Answer one request, whatever happens."""
+        """Process a request and always answer it, with an error response on failure."""
         request_id = self._request_id(received)
         try:
             job = self._admission.admit(received)
             async with asyncio.timeout(job.deadline + ANSWER_GRACE_SECONDS - self._clock()):
                 await self._serve(job, caller)
-            self._note_served(job)
+            self._record_completion(job)
         except TimeoutError:
             kind = ErrorKind.DEADLINE_PASSED if job.may_have_run else ErrorKind.NO_ENGINE
-            self._give_up(WheelslipError(kind, "deadline reached"), request_id, caller)
+            self._answer_error(WheelslipError(kind, "deadline reached"), request_id, caller)
         except WheelslipError as error:
-            self._give_up(error, request_id, caller)
+            self._answer_error(error, request_id, caller)
         except Exception as error:
             log_event(LogEvent.REQUEST_FAULT, request=request_id, reason=repr(error))
-            fault = WheelslipError(ErrorKind.INTERNAL_ERROR, "a fault in wheelslip")
-            self._give_up(fault, request_id, caller)
+            fault = WheelslipError(ErrorKind.INTERNAL_ERROR, "internal error in wheelslip")
+            self._answer_error(fault, request_id, caller)
 
     def refuse(
         self, error: WheelslipError, received: ReceivedRequest, caller: CallerConnection
     ) -> None:
-        """Answer a request that is not taken."""
-        self._give_up(error, self._request_id(received), caller)
+        """Answer a request with an error without processing it."""
+        self._answer_error(error, self._request_id(received), caller)
 
     def _request_id(self, received: ReceivedRequest) -> str | None:
         with contextlib.suppress(ValueError):
             return self._dialect.decode_request(received.headers).request_id or None
         return None
 
-    def _give_up(
+    def _answer_error(
         self, error: WheelslipError, request_id: str | None, caller: CallerConnection
     ) -> None:
         self._metrics.requests[("any", error.kind.value)] += 1
@@ -138,24 +139,24 @@
             reason=error.message,
             registry_age=round(min(self._registry.age(), 1e6), 3),
         )
-        if caller.answer_started:
+        if caller.response_started:
             caller.abort()
             return
-        status, headers, body = error_answer(error, request_id)
+        status, headers, body = error_response(error, request_id)
         headers += self._dialect.own_answer_headers(request_id)
         if self._registry.age() > UNKNOWN_AGE_SECONDS:
-            # Another node may know more: the caller's next connection goes elsewhere.
+            # The registry view is stale: make the caller reconnect, possibly to another node.
             headers.append((b"Connection", b"close"))
-        caller.start(status, headers)
-        caller.data(body)
-        caller.end()
+        caller.write_head(status, headers)
+        caller.write_body(body)
+        caller.write_end()
 
-    def _note_served(self, job: Job) -> None:
+    def _record_completion(self, job: Job) -> None:
         seconds = self._clock() - job.request.arrived
-        outcome = AttemptOutcome.FAILED if job.failure_passed_on else AttemptOutcome.ANSWERED
+        outcome = AttemptOutcome.FAILED if job.failure_forwarded else AttemptOutcome.ANSWERED
         self._metrics.request_ended(job.route.kind.value, outcome.value, seconds)
         if outcome is AttemptOutcome.ANSWERED:
-            # A failed attempt was counted when it failed.
+            # Failed attempts are counted in _record_failed_attempt().
             self._metrics.attempts[outcome.value] += 1
         self._log.log(
             LogEvent.REQUEST_FINISHED,
@@ -163,71 +164,70 @@
             tenant=job.tenant.name if job.tenant else None,
             workload=job.route.name,
             outcome=outcome.value,
-            attempts=job.sent,
+            attempts=job.attempts_sent,
             engine=job.worker_id,
             weights_version=job.weights_version,
-            delivered=job.delivered,
+            delivered=job.last_delivered_id,
             configuration=self._registry.configuration.version,
             first_event=round(max(0.0, job.first_event_at - job.request.arrived), 4),
             seconds=round(seconds, 4),
         )
 
-    # Attempts
-
     async def _serve(self, job: Job, caller: CallerConnection) -> None:
-        service = self._service(job)
-        trial = await self._crash_guard.admit(job, service)
-        if trial is None:
+        service = self._choose_service(job)
+        trial_lock = await self._crash_guard.admit(job, service)
+        if trial_lock is None:
             await self._attempt_until_answered(job, service, caller)
             return
         job.on_trial = True
         try:
             await self._attempt_until_answered(job, service, caller)
         finally:
-            self._crash_guard.end_trial(trial, job)
+            self._crash_guard.end_trial(trial_lock, job)
 
     async def _attempt_until_answered(
         self, job: Job, service: str, caller: CallerConnection
     ) -> None:
-        budget = self._budget(service)
+        budget = self._retry_budget(service)
         budget.record_first(self._clock())
         while True:
             assignment = await self._assign(job, service)
             outcome = await self._attempt(job, assignment, caller)
             if outcome is AttemptOutcome.ANSWERED:
-                self._crash_guard.ran_whole(job)
+                self._crash_guard.record_completed(job)
                 return
-            self._note_failed(job, assignment, outcome)
-            if not self._may_go_on(job, outcome, budget):
-                self._end_unserved(job, caller)
+            self._record_failed_attempt(job, assignment, outcome)
+            if not self._may_retry(job, outcome, budget):
+                self._finish_unserved(job, caller)
                 return
 
-    def _service(self, job: Job) -> str:
+    def _choose_service(self, job: Job) -> str:
         parts = job.route.split
         if len(parts) == 1:
             return parts[0].service
         split = self._splits.setdefault(job.route.name, SmoothSplit())
-        weights = {part.service: part.weight for part in self._live_parts(parts)}
+        weights = {part.service: part.weight for part in self._available_parts(parts)}
         return split.choose(weights) or parts[0].service
 
-    def _live_parts(self, parts: tuple[SplitPart, ...]) -> list[SplitPart]:
-        return [one for one in parts if self._registry.workers_of(one.service)] or list(parts)
+    def _available_parts(self, parts: tuple[SplitPart, ...]) -> list[SplitPart]:
+        return [part for part in parts if self._registry.workers_of(part.service)] or list(parts)
 
-    def _budget(self, service: str) -> RetryWindow:
-        if service not in self._budgets:
-            self._budgets[service] = RetryWindow(
+    def _retry_budget(self, service: str) -> RetryWindow:
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = RetryWindow(
                 self._bounds().retry_ratio, self._bounds().retry_window_seconds
             )
-        return self._budgets[service]
+        return self._retry_budgets[service]
 
     async def _assign(self, job: Job, service: str) -> Assignment:
-        """Return a worker for a request.
+        """Wait until a worker can be assigned to a request, and return the assignment.
 
-        :raises WheelslipError: when none can begin it in time, or its tenant is over its limit.
+        :raises WheelslipError: if no worker can start the request in time, or if the tenant has
+            exceeded its rate limit.
         """
-        give_up_at = self._clock() + WORKER_NEWS_SECONDS
+        wait_deadline = self._clock() + WORKER_WAIT_SECONDS
         while True:
-            reason = "no worker may take the request"
+            reason = "no worker is available"
             try:
                 assignment = await self._assigner.assign(job, service)
             except TenantLimited as exc:
@@ -235,47 +235,53 @@
                 raise WheelslipError(kind, str(exc), round(exc.retry_seconds, 3)) from exc
             except NoAuthority:
                 assignment = None
-                reason = "no node counts for the tenant's limit just now"
+                reason = "the tenant's rate limit cannot be checked at present"
             except Overloaded as exc:
                 raise self._unserved_error(job, str(exc), exc.retry_seconds) from exc
             if assignment is not None:
                 return assignment
-            returns_at = self._returns_at(job, service)
-            if returns_at is not None:
-                give_up_at = max(give_up_at, returns_at + ASK_AGAIN_SECONDS)
-            remaining = give_up_at - self._clock()
+            backoff_end = self._backoff_end(job, service)
+            if backoff_end is not None:
+                wait_deadline = max(wait_deadline, backoff_end + ASSIGN_RETRY_SECONDS)
+            remaining = wait_deadline - self._clock()
             if remaining <= 0:
                 raise self._unserved_error(job, reason)
-            pause = max(ASK_AGAIN_SECONDS, (returns_at or 0.0) - self._clock())
+            pause = max(ASSIGN_RETRY_SECONDS, (backoff_end or 0.0) - self._clock())
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(remaining, pause)):
                     await self._registry.changed()
 
-    def _returns_at(self, job: Job, service: str) -> float | None:
-        """Return when a worker that rests takes requests again; ``None`` if none rests.
+    def _backoff_end(self, job: Job, service: str) -> float | None:
+        """Return the time at which the first worker in backoff accepts requests again.
 
-        :raises WheelslipError: when none returns within its target. Another node may have a
-            right to them now, so its caller is told at once, and each a later turn than the last.
+        :return: ``None`` if no worker of the service is in backoff.
+        :raises WheelslipError: if that time is later than the target of the request. The request
+            fails immediately, as a worker may still accept it from another node; callers are
+            given successively later retry times.
         """
-        rests_until = self._registry.rests_until(service)
-        if rests_until is None:
+        first_end = self._registry.rests_until(service)
+        if first_end is None:
             return None
         now = self._clock()
-        returns_at = max(now, rests_until)
-        if returns_at <= job.request.arrived + job.route.target_seconds:
-            return returns_at
-        turns = self._rest_turns.setdefault(service, Turns())
-        seconds = turns.retry_seconds(now, returns_at - now, REST_TURN_SECONDS)
-        raise self._unserved_error(job, "the engines left rest", max(seconds, LEAST_RETRY_SECONDS))
+        backoff_end = max(now, first_end)
+        if backoff_end <= job.request.arrived + job.route.target_seconds:
+            return backoff_end
+        schedule = self._retry_schedules.setdefault(service, Turns())
+        seconds = schedule.retry_seconds(now, backoff_end - now, BACKOFF_RETRY_SPACING_SECONDS)
+        raise self._unserved_error(
+            job, "no engine leaves backoff in time", max(seconds, MIN_RETRY_SECONDS)
+        )
 
     def _unserved_error(
         self, job: Job, message: str, retry_seconds: float = NO_WORKER_RETRY_SECONDS
     ) -> WheelslipError:
         if job.may_have_run:
-            return WheelslipError(ErrorKind.ENGINE_LOST, f"{message}; {job.reason}")
+            return WheelslipError(ErrorKind.ENGINE_LOST, f"{message}; {job.failure_reason}")
         return WheelslipError(ErrorKind.NO_ENGINE, message, round(retry_seconds, 3))
 
-    def _note_failed(self, job: Job, assignment: Assignment, outcome: AttemptOutcome) -> None:
+    def _record_failed_attempt(
+        self, job: Job, assignment: Assignment, outcome: AttemptOutcome
+    ) -> None:
         placement = assignment.placement
         info = placement.worker.info
         self._metrics.attempts[outcome.value] += 1
@@ -289,15 +295,15 @@
             registry_age=round(self._registry.age(), 3),
             proven_not_run=outcome in _PROVEN_NOT_RUN,
             content=job.fingerprint if outcome is AttemptOutcome.LOST else None,
-            reason=job.reason,
+            reason=job.failure_reason,
         )
         if outcome is AttemptOutcome.WITHHELD:
             return
         job.excluded.add(info.id)
         if outcome is AttemptOutcome.LOST and not assignment.silent:
-            self._crash_guard.lost(job, info)
+            self._crash_guard.record_lost_response(job, info)
 
-    def _may_go_on(self, job: Job, outcome: AttemptOutcome, budget: RetryWindow) -> bool:
+    def _may_retry(self, job: Job, outcome: AttemptOutcome, budget: RetryWindow) -> bool:
         if self._clock() >= job.deadline:
             return False
         if outcome is AttemptOutcome.WITHHELD:
@@ -309,19 +315,17 @@
                 return False
             if not job.route.repeatable or job.may_have_run >= job.route.max_attempts:
                 return False
-        elif job.sent >= MAX_SENDS:
+        elif job.attempts_sent >= MAX_SENDS:
             return False
         return budget.take_repeat(self._clock())
 
-    def _end_unserved(self, job: Job, caller: CallerConnection) -> None:
-        if job.failure is not None and not caller.answer_started:
-            pass_on_whole(job.failure, caller)
-            job.failure_passed_on = True
+    def _finish_unserved(self, job: Job, caller: CallerConnection) -> None:
+        if job.failed_response is not None and not caller.response_started:
+            write_buffered_response(job.failed_response, caller)
+            job.failure_forwarded = True
             return
         raise self._unserved_error(job, "no further attempt is allowed")
 
-    # One attempt
-
     async def _attempt(
         self, job: Job, assignment: Assignment, caller: CallerConnection
     ) -> AttemptOutcome:
@@ -331,29 +335,29 @@
         try:
             connection = await self._pool.acquire(worker)
         except PeerUnreachable as error:
-            job.reason = str(error)
-            assignment.unreached()
+            job.failure_reason = str(error)
+            assignment.record_unreachable()
             return AttemptOutcome.NOT_SENT
         except asyncio.CancelledError:
-            # The caller has left, or its time is up, while the connection was being opened.
-            assignment.unused()
+            # The caller disconnected or the deadline passed while the connection was opened.
+            assignment.record_unused()
             raise
         if not self._registry.may_begin(worker.id, assignment.placement.is_counted):
-            # It has said so since it was chosen: opening a connection may take a third of the
-            # drain time. Nothing is awaited from here until the request is written.
+            # The worker's state may have changed while the connection was opened. Nothing is
+            # awaited between this check and the write of the request.
             connection.close()
-            assignment.unused()
-            job.reason = "the engine leaves, rests or has named a limit"
+            assignment.record_unused()
+            job.failure_reason = "the engine is leaving, in backoff or rate limited"
             return AttemptOutcome.WITHHELD
-        return await self._send(job, assignment, connection, caller)
+        return await self._run_attempt(job, assignment, connection, caller)
 
-    async def _send(
+    async def _run_attempt(
         self, job: Job, assignment: Assignment, connection: HttpConnection, caller: CallerConnection
     ) -> AttemptOutcome:
-        start = job.last_start = assignment.placement.worker.info.id
+        incarnation = job.last_incarnation = assignment.placement.worker.info.id
         job.last_sent_at = self._clock()
         notices = self._registry.notices
-        turn, outcome = notices.begin(start), None
+        turn, outcome = notices.begin(incarnation), None
         assignment.begin()
         attempt = Attempt(self._services, job, assignment, connection, caller)
         try:
--- a/src/wheelslip/forwarding/job.py
+++ b/src/wheelslip/forwarding/job.py
@@ -1,4 +1,4 @@
-"""A forwarded request under way."""
+"""State of an in-flight forwarded request."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
-    """A worker's whole answer that was not passed on yet."""
+class BufferedResponse:
+    """A worker's response that was read completely before being forwarded."""
 
     response: h11.Response
     body: bytes
@@ -19,33 +19,42 @@
 
 @dataclass
 class Job:
-    """One request under way and what has happened to it.
+    """State of one in-flight request.
 
-    :ivar sent: attempts that reached a worker, whether it ran them or not.
-    :ivar may_have_run: attempts that were not proven not run.
-    :ivar delivered: id of the last event passed on to the caller.
-    :ivar counted: this node had it counted for its tenant's limit, apart from any grant.
-    :ivar last_start: of the engine that it was sent to last.
-    :ivar last_sent_at: when that was, in seconds of the steady clock.
-    :ivar on_trial: engines ended under its content before; this node sends it to one alone.
-    :ivar failure_passed_on: the caller got a worker's own failure as its answer.
+    :ivar tenant: ``None`` if the route needs no API key.
+    :ivar cache_namespace: separates cached prompts of isolated tenants.
+    :ivar deadline: in seconds of the steady clock.
+    :ivar attempts_sent: attempts that were sent to a worker, executed or not.
+    :ivar may_have_run: attempts that the worker may have executed.
+    :ivar excluded: worker incarnations that are not tried again.
+    :ivar last_delivered_id: id of the last event that the caller has received, in this or an earlier
+        response.
+    :ivar failed_response: last server error response of a worker.
+    :ivar failure_forwarded: a server error response of a worker was forwarded to the caller.
+    :ivar quota_charged: the request was charged to the tenant's quota without a grant.
+    :ivar failure_reason: why the last attempt failed, for logs and error messages.
+    :ivar worker_id: worker of the last attempt.
+    :ivar last_incarnation: worker incarnation that the request was last sent to.
+    :ivar last_sent_at: when it was sent there, in seconds of the steady clock.
+    :ivar on_trial: the request is suspected of crashing workers and holds the trial lock.
+    :ivar first_event_at: when the first event was forwarded, 0 before that.
     """
 
     request: ForwardedRequest
     route: Route
     tenant: Tenant | None
-    wall: str
+    cache_namespace: str
     deadline: float
-    sent: int = 0
+    attempts_sent: int = 0
     may_have_run: int = 0
     excluded: set[Incarnation] = field(default_factory=set)
-    delivered: int | None = None
-    failure: WholeAnswer | None = None
-    failure_passed_on: bool = False
-    counted: bool = False
-    reason: str = ""
+    last_delivered_id: int | None = None
+    failed_response: BufferedResponse | None = None
+    failure_forwarded: bool = False
+    quota_charged: bool = False
+    failure_reason: str = ""
     worker_id: str = ""
-    last_start: Incarnation | None = None
+    last_incarnation: Incarnation | None = None
     last_sent_at: float = 0.0
     on_trial: bool = False
     weights_version: int | None = None
@@ -53,14 +62,14 @@
 
     @property
     def priority(self) -> int:
-        """The priority of the request, 0 for the most urgent: a tenant's goes before its route's."""
+        """Priority of the tenant, or else of the route; 0 is the most urgent."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.route.priority
 
     @cached_property
     def fingerprint(self) -> str:
-        """The identity of the request's content, computed when it is first asked for."""
+        """Fingerprint of method, target, tenant and body."""
         request = self.request
         tenant = self.tenant.name if self.tenant is not None else ""
         return content_fingerprint(request.method, request.target, tenant, request.body)
--- a/src/wheelslip/forwarding/long_tasks.py
+++ b/src/wheelslip/forwarding/long_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run as long as their node, and begin anew when they fail."""
+"""Background tasks that run as long as their node and are restarted on failure."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -6,26 +6,26 @@
 from wheelslip.events import LogEvent, log_event
 
 RESTART_SECONDS = 0.2
-"""Pause before a failed task begins anew, so that a fault that stays costs little."""
+"""Pause before a failed task is restarted."""
 
 
 class LongTasks:
-    """The tasks of one node; a reference to each is kept, or it would be collected."""
+    """The background tasks of one node; references prevent their garbage collection."""
 
     def __init__(self):
         self._tasks: list[asyncio.Task] = []
 
     def start(self, name: str, work: Callable[[], Coroutine]) -> None:
-        """Start a task and keep it running."""
-        task = asyncio.get_running_loop().create_task(self._keep_running(name, work))
+        """Start a task that is restarted whenever it raises an exception."""
+        task = asyncio.get_running_loop().create_task(self._run_with_restarts(name, work))
         self._tasks.append(task)
 
     def cancel(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _keep_running(self, name: str, work: Callable[[], Coroutine]) -> None:
+    async def _run_with_restarts(self, name: str, work: Callable[[], Coroutine]) -> None:
         while True:
             try:
                 await work()
--- a/src/wheelslip/forwarding/server.py
+++ b/src/wheelslip/forwarding/server.py
@@ -1,4 +1,4 @@
-"""The addresses that callers and the platform's front connect to, and the planned stop."""
+"""HTTP servers for callers, readiness checks and metrics."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,16 +12,21 @@
 
 BACKLOG = 512
 SWEEP_SECONDS = 1.0
-HELD_MEMORY_SHARE = 0.25
-"""Part of a machine's memory that bodies of requests may take; each is kept until its answer
-so that it can be sent again."""
+BODY_MEMORY_SHARE = 0.25
+"""Share of the memory limit available to request bodies, which are buffered for retries until the
+request ends."""
 
 READY_AGE_SHARE = 0.55
-"""A node is ready while its view is younger than this share of the key revocation bound."""
+"""Maximum age of the registry view of a ready node, as a share of the key revocation bound."""
 
 
 class CallerServer:
-    """Accepts callers' connections and hands their requests to the forwarder."""
+    """Accepts callers' connections and passes their requests to the forwarder.
+
+    :param memory_megabytes: returns the memory limit of the node.
+    :ivar stopping: responses ask callers to close the connection.
+    :ivar refuses_new: new requests are rejected.
+    """
 
     def __init__(
         self,
@@ -31,7 +36,7 @@
         memory_megabytes: Callable[[], int],
     ):
         self._memory_megabytes = memory_megabytes
-        self._held_bytes = 0
+        self._reserved_bytes = 0
         self.clock = clock
         self.stopping = False
         self.refuses_new = False
@@ -46,23 +51,26 @@
         return configuration.limits if configuration else CallerLimits()
 
     def hold_bytes(self, count: int) -> bool:
-        """Count bytes of bodies held in memory; ``False`` when there is no room."""
-        room = HELD_MEMORY_SHARE * self._memory_megabytes() * 1_000_000
-        if count > 0 and self._held_bytes + count > room:
+        """Reserve memory for request bodies; a negative count releases it.
+
+        :return: ``False`` if the memory limit would be exceeded.
+        """
+        capacity = BODY_MEMORY_SHARE * self._memory_megabytes() * 1_000_000
+        if count > 0 and self._reserved_bytes + count > capacity:
             return False
-        self._held_bytes += count
+        self._reserved_bytes += count
         return True
 
-    def opened(self, connection: CallerConnection) -> None:
-        """Count a connection."""
+    def connection_opened(self, connection: CallerConnection) -> None:
+        """Register a connection."""
         self._connections.add(connection)
 
-    def closed(self, connection: CallerConnection) -> None:
-        """Forget a connection."""
+    def connection_closed(self, connection: CallerConnection) -> None:
+        """Unregister a connection."""
         self._connections.discard(connection)
 
     async def handle(self, request: ReceivedRequest, connection: CallerConnection) -> None:
-        """Answer a request."""
+        """Answer a request, with an error if the node is stopping."""
         if self.refuses_new:
             error = WheelslipError(ErrorKind.NODE_STOPPING, "the node is stopping", 0.05)
             self._forwarder.refuse(error, request, connection)
@@ -70,7 +78,7 @@
         await self._forwarder.handle(request, connection)
 
     async def listen(self, host: str, port: int) -> None:
-        """Begin to accept connections."""
+        """Start to accept connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CallerConnection(self), host, port, backlog=BACKLOG
@@ -78,11 +86,11 @@
 
     @property
     def busy(self) -> int:
-        """Requests that are being answered."""
-        return sum(one.busy for one in self._connections)
+        """Number of in-flight requests."""
+        return sum(connection.busy for connection in self._connections)
 
     async def sweep(self) -> None:
-        """Close connections that rest or dawdle too long, for ever."""
+        """Close connections that exceed their idle or header timeout; runs until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             now = self.clock()
@@ -90,19 +98,19 @@
                 connection.check_timeouts(now)
 
     def close_idle(self) -> None:
-        """Close connections between requests."""
+        """Close connections without a request in progress."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def close(self) -> None:
-        """Accept nothing more and close all idle connections."""
+        """Stop accepting connections and close idle ones."""
         if self._server is not None:
             self._server.close()
         self.close_idle()
 
 
-class SideServer:
-    """Answers small questions that are no callers' requests; one subclass an address."""
+class InternalServer:
+    """Base class of the servers for requests that are not forwarded, one per address."""
 
     def __init__(self, clock: Callable[[], float]):
         self.clock = clock
@@ -110,57 +118,57 @@
         self._server: asyncio.Server | None = None
 
     def limits(self) -> CallerLimits:
-        """Return fixed limits."""
+        """Return the default limits."""
         return CallerLimits()
 
     def hold_bytes(self, count: int) -> bool:
-        """Questions here have no bodies worth counting."""
+        """Accept any body; memory is not accounted for on this server."""
         return True
 
-    def opened(self, connection: CallerConnection) -> None:
-        """Nothing is counted here."""
+    def connection_opened(self, connection: CallerConnection) -> None:
+        """Do nothing; connections are not tracked on this server."""
 
-    def closed(self, connection: CallerConnection) -> None:
-        """Nothing is counted here."""
+    def connection_closed(self, connection: CallerConnection) -> None:
+        """Do nothing; connections are not tracked on this server."""
 
     async def listen(self, host: str, port: int) -> None:
-        """Begin to accept questions."""
+        """Start to accept connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: CallerConnection(self), host, port)
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
 
-class ReadinessServer(SideServer):
-    """Answers whether this node wants new connections: 200 or 503 on any path."""
+class ReadinessServer(InternalServer):
+    """Reports whether this node accepts new connections, as status 200 or 503 on any path."""
 
     def __init__(self, is_ready: Callable[[], bool], clock: Callable[[], float]):
         super().__init__(clock)
         self._is_ready = is_ready
 
     async def handle(self, request: ReceivedRequest, connection: CallerConnection) -> None:
-        """Answer a readiness question."""
-        connection.start(200 if self._is_ready() else 503, [(b"Content-Length", b"0")])
-        connection.end()
+        """Answer a readiness check."""
+        connection.write_head(200 if self._is_ready() else 503, [(b"Content-Length", b"0")])
+        connection.write_end()
 
 
-class MetricsServer(SideServer):
-    """Answers with all metrics, as text, on any path."""
+class MetricsServer(InternalServer):
+    """Serves all metrics in text format on any path."""
 
     def __init__(self, metrics: ForwardingMetrics, clock: Callable[[], float]):
         super().__init__(clock)
         self._metrics = metrics
 
     async def handle(self, request: ReceivedRequest, connection: CallerConnection) -> None:
-        """Answer with the figures of this moment."""
+        """Answer with the current metrics."""
         body = self._metrics.exposition()
         headers = [
             (b"Content-Type", b"text/plain; version=0.0.4"),
             (b"Content-Length", b"%d" % len(body)),
         ]
-        connection.start(200, headers)
-        connection.data(body)
-        connection.end()
+        connection.write_head(200, headers)
+        connection.write_body(body)
+        connection.write_end()
--- a/tests/unit/forwarding/test_content_trials.py
+++ b/tests/unit/forwarding/test_content_trials.py
@@ -5,10 +5,10 @@
 import pytest
 
 from wheelslip.forwarding.content_trials import (
-    TAKE_PAUSE_SECONDS,
+    ACQUIRE_RETRY_SECONDS,
+    LOCK_EXPIRY_SECONDS,
     TRIALS_PREFIX,
-    VOID_SECONDS,
-    ContentTrials,
+    TrialLocks,
 )
 from wheelslip.keyvalue.model import KeyValueUnavailable, Put, Transaction, TransactionResult
 
@@ -42,41 +42,41 @@
 
 @pytest.fixture
 def trials(store, registry, clock):
-    one = ContentTrials("n1", store, registry, clock)
+    one = TrialLocks("n1", store, registry, clock)
     registry.on_own_entry = one.entry_changed
     return one
 
 
 def test_a_turn_is_one_nodes_until_it_is_given_back(trials, store, registry, clock):
-    other = ContentTrials("n2", store, registry, clock)
-    trial = asyncio.run(trials.take("s"))
-    assert trial is not None and asyncio.run(other.take("s")) is None
-    asyncio.run(trials.give_back(trial))
-    clock.now += TAKE_PAUSE_SECONDS
-    assert asyncio.run(other.take("s")) is not None
+    other = TrialLocks("n2", store, registry, clock)
+    trial = asyncio.run(trials.acquire("s"))
+    assert trial is not None and asyncio.run(other.acquire("s")) is None
+    asyncio.run(trials.release(trial))
+    clock.now += ACQUIRE_RETRY_SECONDS
+    assert asyncio.run(other.acquire("s")) is not None
 
 
 def test_a_node_whose_view_shows_anothers_turn_calls_nobody(trials, store, registry):
     registry.apply(KEY, b"n2", 11)
-    assert asyncio.run(trials.take("s")) is None
+    assert asyncio.run(trials.acquire("s")) is None
     assert store.calls == 0
 
 
 def test_a_turn_of_a_node_that_died_becomes_void(trials, store, registry, clock):
     store.revision = 11
     registry.apply(KEY, b"n2", 11)
-    clock.now += VOID_SECONDS
-    assert asyncio.run(trials.take("s")) is not None
+    clock.now += LOCK_EXPIRY_SECONDS
+    assert asyncio.run(trials.acquire("s")) is not None
 
 
 def test_a_content_that_many_ask_for_costs_few_calls(trials, store, clock):
     store.revision = 99
     for _ in range(100):
-        assert asyncio.run(trials.take("s")) is None
+        assert asyncio.run(trials.acquire("s")) is None
         clock.now += 0.01
-    assert store.calls == 1 / TAKE_PAUSE_SECONDS
+    assert store.calls == 1 / ACQUIRE_RETRY_SECONDS
 
 
 def test_without_the_store_nobody_has_a_turn(trials, store):
     store.down = True
-    assert asyncio.run(trials.take("s")) is None
+    assert asyncio.run(trials.acquire("s")) is None
