--- a/src/wheelslip/forwarding/admission.py
+++ b/src/wheelslip/forwarding/admission.py
@@ -16,7 +16,7 @@
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.settings import BoundsSection
 
-UNKNOWN_AGE_SECONDS = 2.0
+MAX_VIEW_AGE_SECONDS = 2.0
 """Maximum age of the view by which unknown routes and keys are rejected permanently."""
 
 KEY_VIEW_AGE_SHARE = 0.7
@@ -84,8 +84,8 @@
     ) -> Tenant | None:
         if route.public or not configuration.keys_required:
             return None
-        oldest = KEY_VIEW_AGE_SHARE * self._bounds().key_revocation_ms / 1000
-        if self._registry.age() > oldest:
+        max_age = KEY_VIEW_AGE_SHARE * self._bounds().key_revocation_ms / 1000
+        if self._registry.age() > max_age:
             raise WheelslipError(ErrorKind.NOT_READY, "API keys cannot be verified at present")
         tenant = configuration.tenants_by_key.get(request.metadata.api_key or "")
         if tenant is None:
@@ -97,7 +97,7 @@
 
         :raises WheelslipError: always.
         """
-        if self._registry.age() > UNKNOWN_AGE_SECONDS:
+        if self._registry.age() > MAX_VIEW_AGE_SECONDS:
             raise WheelslipError(ErrorKind.NOT_READY, "the configuration may be stale")
         raise WheelslipError(kind, message)
 
--- a/src/wheelslip/forwarding/caller_connection.py
+++ b/src/wheelslip/forwarding/caller_connection.py
@@ -42,7 +42,7 @@
     def stopping(self) -> bool:
         """Whether responses ask the caller to close the connection."""
 
-    def hold_bytes(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Reserve memory for request bodies; a negative count releases it.
 
         :return: ``False`` if the memory limit would be exceeded.
@@ -165,7 +165,7 @@
         return True
 
     def _process_body(self, data: bytes) -> bool:
-        if not self._owner.hold_bytes(len(data)):
+        if not self._owner.reserve_bytes(len(data)):
             self._reject(ErrorKind.QUEUE_FULL, "memory limit of buffered request bodies exceeded")
             return False
         self._reserved_bytes += len(data)
@@ -224,7 +224,7 @@
             self._finish_request()
 
     def _release_bytes(self) -> None:
-        self._owner.hold_bytes(-self._reserved_bytes)
+        self._owner.reserve_bytes(-self._reserved_bytes)
         self._reserved_bytes = 0
 
     def _finish_request(self) -> None:
--- a/src/wheelslip/forwarding/content_trials.py
+++ b/src/wheelslip/forwarding/content_trials.py
@@ -22,7 +22,7 @@
 """Minimum interval between two attempts of a node to acquire a lock; limits the load on the store."""
 
 
-class Trial(NamedTuple):
+class TrialLock(NamedTuple):
     """A trial lock held by this node.
 
     :ivar revision: store revision at which the lock was acquired.
@@ -57,7 +57,7 @@
         else:
             self._expires_at[key] = self._clock() + LOCK_EXPIRY_SECONDS
 
-    async def acquire(self, service: str) -> Trial | None:
+    async def acquire(self, service: str) -> TrialLock | None:
         """Try to acquire the trial lock of a service.
 
         :return: ``None`` if another node holds the lock or the store is unavailable.
@@ -75,9 +75,9 @@
         except KeyValueError as exc:
             log_event(LogEvent.LEASE_CALL_FAILED, duty=key, reason=str(exc))
             return None
-        return Trial(key, result.revision) if result.succeeded else None
+        return TrialLock(key, result.revision) if result.succeeded else None
 
-    async def release(self, lock: Trial) -> None:
+    async def release(self, lock: TrialLock) -> None:
         """Release a lock; if the store is unavailable, the lock expires instead."""
         release = Transaction({lock.key: lock.revision}, (Delete(lock.key),))
         try:
--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -11,7 +11,7 @@
 
 from wheelslip.deployment import Incarnation, WorkerInfo
 from wheelslip.errors import ErrorKind, WheelslipError
-from wheelslip.forwarding.content_trials import Trial, TrialLocks
+from wheelslip.forwarding.content_trials import TrialLock, TrialLocks
 from wheelslip.forwarding.crash_evidence import CrashEvidence
 from wheelslip.forwarding.crash_reports import CrashReports
 from wheelslip.forwarding.interface import KeyValueStore
@@ -47,11 +47,11 @@
         self.reports.entry_changed(key)
         self._trial_locks.entry_changed(key)
 
-    def refused_contents(self) -> int:
+    def refused_fingerprints(self) -> int:
         """Return the number of fingerprints that are refused now."""
         return self._ledger.refused()
 
-    async def admit(self, job: Job, service: str) -> Trial | None:
+    async def admit(self, job: Job, service: str) -> TrialLock | None:
         """Check a request before it is sent to a worker.
 
         :return: the acquired trial lock if the request is suspected, otherwise ``None``.
@@ -97,13 +97,13 @@
         if self._ledger and self._ledger.crashes(job.fingerprint):
             self.reports.add_whole_run(job.fingerprint)
 
-    def end_trial(self, trial_lock: Trial, job: Job) -> None:
+    def end_trial(self, trial_lock: TrialLock, job: Job) -> None:
         """Release a trial lock in the background, once the result is known and was reported."""
         task = asyncio.get_running_loop().create_task(self._end_trial(trial_lock, job))
         self._pending_releases.add(task)
         task.add_done_callback(self._pending_releases.discard)
 
-    async def _end_trial(self, trial_lock: Trial, job: Job) -> None:
+    async def _end_trial(self, trial_lock: TrialLock, job: Job) -> None:
         if job.last_incarnation is not None:
             await self._evidence.settled(job.last_incarnation)
         await self.reports.written()
--- a/src/wheelslip/forwarding/event_stream.py
+++ b/src/wheelslip/forwarding/event_stream.py
@@ -23,20 +23,20 @@
     """Buffers received bytes and returns complete events only."""
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def incomplete(self) -> bool:
         """Whether part of an event is buffered."""
-        return bool(self._rest.strip())
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add received bytes and return the events completed by them."""
-        self._rest += data
+        self._buffer += data
         events = []
-        while match := _SEPARATOR.search(self._rest):
-            raw = self._rest[: match.end()]
-            self._rest = self._rest[match.end() :]
+        while match := _SEPARATOR.search(self._buffer):
+            raw = self._buffer[: match.end()]
+            self._buffer = self._buffer[match.end() :]
             id_match = _ID.search(raw)
             events.append(StreamEvent(raw, int(id_match.group(1)) if id_match else None))
         return events
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 from wheelslip.deployment import SplitPart
 from wheelslip.errors import ErrorKind, WheelslipError
 from wheelslip.events import LogBudget, LogEvent, log_event
-from wheelslip.forwarding.admission import UNKNOWN_AGE_SECONDS, Admission
+from wheelslip.forwarding.admission import MAX_VIEW_AGE_SECONDS, Admission
 from wheelslip.forwarding.answers import error_response
 from wheelslip.forwarding.assignment import Assignment, WorkerAssigner
 from wheelslip.forwarding.attempt import (
@@ -144,7 +144,7 @@
             return
         status, headers, body = error_response(error, request_id)
         headers += self._dialect.own_answer_headers(request_id)
-        if self._registry.age() > UNKNOWN_AGE_SECONDS:
+        if self._registry.age() > MAX_VIEW_AGE_SECONDS:
             # The registry view is stale: make the caller reconnect, possibly to another node.
             headers.append((b"Connection", b"close"))
         caller.write_head(status, headers)
--- a/src/wheelslip/forwarding/long_tasks.py
+++ b/src/wheelslip/forwarding/long_tasks.py
@@ -9,7 +9,7 @@
 """Pause before a failed task is restarted."""
 
 
-class LongTasks:
+class BackgroundTasks:
     """The background tasks of one node; references prevent their garbage collection."""
 
     def __init__(self):
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -21,7 +21,7 @@
     WorkerControl,
 )
 from wheelslip.forwarding.limit_meter import LimitMeter
-from wheelslip.forwarding.long_tasks import LongTasks
+from wheelslip.forwarding.long_tasks import BackgroundTasks
 from wheelslip.forwarding.metrics import ForwardingMetrics
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.registry_sync import RegistrySync
@@ -206,7 +206,7 @@
         )
         self._readiness = ReadinessServer(self.is_ready, clock)
         self._metrics_server = MetricsServer(self._metrics, clock)
-        self._tasks = LongTasks()
+        self._tasks = BackgroundTasks()
 
     @property
     def settings(self) -> ForwardingSettings:
@@ -242,7 +242,7 @@
 
     def hold_bytes(self, count: int) -> None:
         """Count bytes as if bodies of requests held them."""
-        self._callers.hold_bytes(count)
+        self._callers.reserve_bytes(count)
 
     def hear_datagram(self, data: bytes) -> None:
         """Take a peer's datagram as if it came from the socket."""
@@ -319,7 +319,7 @@
             "requests_held_back": lambda: float(self._dispatcher.held_back),
             "granted_requests": lambda: float(self._dispatcher.granted),
             **self._meter.gauges(),
-            "refused_contents": lambda: float(self._crash_guard.refused_contents()),
+            "refused_contents": lambda: float(self._crash_guard.refused_fingerprints()),
             "engines_said_leaving": lambda: float(self._registry.notices.said_leaving),
             "engine_rests_begun": lambda: float(self._registry.notices.rests_begun),
             "engines_resting": lambda: float(self._registry.notices.resting),
--- a/src/wheelslip/forwarding/server.py
+++ b/src/wheelslip/forwarding/server.py
@@ -50,7 +50,7 @@
         configuration = self._registry.configuration
         return configuration.limits if configuration else CallerLimits()
 
-    def hold_bytes(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Reserve memory for request bodies; a negative count releases it.
 
         :return: ``False`` if the memory limit would be exceeded.
@@ -121,7 +121,7 @@
         """Return the default limits."""
         return CallerLimits()
 
-    def hold_bytes(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Accept any body; memory is not accounted for on this server."""
         return True
 
