--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -203,7 +203,7 @@
         "forwarding/attempt.py",
         "if answer.request_id in (None, self._job.request.metadata.request_id):",
         "if True:",
-        "forwarding/test_failures.py::test_an_answer_to_another_request_reaches_nobody",
+        "forwarding/test_failures.py::test_response_to_another_request_is_skipped",
     ),
     _one(
         "signature of a success not demanded",
@@ -211,7 +211,7 @@
         "forwarding/attempt.py",
         "if succeeded and not answer.signed:",
         "if False:",
-        "forwarding/test_failures.py::test_a_success_without_a_signature_is_not_passed_on",
+        "forwarding/test_failures.py::test_unsigned_success_returns_502",
     ),
     _one(
         "what may have run is told as not run",
@@ -219,7 +219,7 @@
         "forwarding/attempt.py",
         "job.may_have_run += 1",
         "job.may_have_run += 0",
-        "forwarding/test_failures.py::test_a_lost_answer_of_what_may_not_be_repeated_runs_once_and_is_not_called_not_run",
+        "forwarding/test_failures.py::test_lost_response_of_non_repeatable_request_runs_once_and_returns_502",
     ),
     _one(
         "what may not be repeated is repeated",
@@ -227,8 +227,8 @@
         "forwarding/forwarder.py",
         "if not job.route.repeatable or job.may_have_run >= job.route.max_attempts:",
         "if False:",
-        "forwarding/test_failures.py::test_a_lost_answer_of_what_may_not_be_repeated_runs_once"
-        "_and_is_not_called_not_run",
+        "forwarding/test_failures.py::test_lost_response_of_non_repeatable_request_runs_once"
+        "_and_returns_502",
     ),
     _one(
         "repeats without a budget",
@@ -236,7 +236,7 @@
         "forwarding/forwarder.py",
         "return budget.take_repeat(self._clock())",
         "return True",
-        "forwarding/test_failures.py::test_repeats_stop_with_the_budget",
+        "forwarding/test_failures.py::test_retries_stop_when_budget_is_exhausted",
     ),
     _one(
         "part of an event passed on",
@@ -244,7 +244,7 @@
         "forwarding/event_stream.py",
         "return bool(self._buffer.strip())",
         "return False",
-        "../unit/forwarding/test_event_stream.py::test_part_of_an_event_is_held_back",
+        "../unit/forwarding/test_event_stream.py::test_incomplete_event_is_buffered",
     ),
     _one(
         "caller's close not heeded",
@@ -252,7 +252,7 @@
         "forwarding/caller_connection.py",
         "            self._task.cancel()",
         "            pass",
-        "forwarding/test_path.py::test_a_callers_close_is_seen_while_the_worker_is_silent",
+        "forwarding/test_path.py::test_caller_disconnect_closes_connection_to_silent_worker",
     ),
     _one(
         "keys honoured by an old view",
@@ -416,7 +416,7 @@
         "forwarding/admission.py",
         "if tenant is not None and tenant.isolated:",
         "if False:",
-        "forwarding/test_path.py::test_salt_changes_with_version_and_wall",
+        "forwarding/test_path.py::test_cache_salt_separates_isolated_tenants",
     ),
     _one(
         "expected instance not sent",
@@ -424,7 +424,7 @@
         "platform/headers.py",
         "headers.append((EXPECT_INSTANCE, dispatch.worker.worker_id.encode()))",
         "pass",
-        "forwarding/test_failures.py::test_another_incarnation_at_an_address_runs_nothing_and_is_passed_over",
+        "forwarding/test_failures.py::test_other_incarnation_at_same_address_runs_nothing",
     ),
     _one(
         "stop does not wait for running requests",
@@ -456,7 +456,7 @@
         "forwarding/crash_reports.py",
         "            await asyncio.sleep(GATHER_SECONDS)\n",
         "            await asyncio.Event().wait()\n",
-        "forwarding/test_crashing_requests.py::test_nodes_that_start_again_still_refuse_it",
+        "forwarding/test_crashing_requests.py::test_restarted_nodes_still_refuse_crashing_request",
     ),
     _one(
         "a lost answer taken for a crash",
@@ -464,8 +464,7 @@
         "forwarding/crash_evidence.py",
         "        conn.close()\n        return False",
         "        conn.close()\n        return True",
-        "forwarding/test_crashing_requests.py"
-        "::test_connections_that_break_at_workers_that_live_condemn_nobody",
+        "forwarding/test_crashing_requests.py::test_lost_responses_of_live_workers_are_not_crashes",
     ),
     _one(
         "a whole run clears nothing",
@@ -482,8 +481,7 @@
         "forwarding/content_trials.py",
         "        return TrialLock(key, result.revision) if result.succeeded else None",
         "        return TrialLock(key, result.revision)",
-        "../unit/forwarding/test_content_trials.py"
-        "::test_a_turn_is_one_nodes_until_it_is_given_back",
+        "../unit/forwarding/test_content_trials.py::test_trial_lock_is_exclusive_until_released",
     ),
     Mutation(
         "an engine's word that it leaves is not asked for",
--- a/tests/probe/forwarding/test_crashing_requests.py
+++ b/tests/probe/forwarding/test_crashing_requests.py
@@ -1,13 +1,4 @@
-"""One request ended eleven engines, six of them long after it had ended the third.
-
-The request ends each engine that begins to run it. Its caller gets 502, as for any lost engine, and
-repeats it under a new request id at another node. Nothing remembered a request beyond its own
-attempts, so each repeat was a first send. The logs settled it: 154 attempts ended with ``peer closed
-connection without sending complete message body``, at 20 engines that ended, and no request id stands in
-two of them, so no node had sent one on. On the code before the mend
-the 16 repeats below end 21 engines (one node, idempotent: it sends some to a second engine), 19, 16 and 16
-(three nodes: idempotent, not idempotent, a stream that is resumed).
-"""
+"""Requests that crash workers, repeated by their caller under new ids and at any node."""
 
 import asyncio
 import socket
@@ -18,43 +9,43 @@
 from standins.platform_worker import PlatformWorker, WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 
-BORN = 1_764_700_000_000
-DEADLY = b"deadly"
-DOWN_SECONDS = 0.6
+START_TIME_MS = 1_764_700_000_000
+CRASHING_BODY = b"deadly"
+RESTART_SECONDS = 0.6
 REPEATS = 16
-REPEAT_SECONDS = 0.2
-MOST_CRASHES = 6
-"""Three, and three sends later; each is one crash here."""
+REPEAT_INTERVAL_SECONDS = 0.2
+MAX_CRASHES = 6
+"""Three crashes before the refusal, and at most three by later requests."""
 
-VERDICT = "request_crashes_engines"
+REFUSAL_KIND = "request_crashes_engines"
 
 
-async def site_of(site, zones=("z1",), service="plain", workers=8, **faults):
-    """Workers that end under the deadly body and come back, and a node in each zone."""
+async def start_site(site, zones=("z1",), service="plain", workers=8, **faults):
+    """Start workers that crash on the body and restart, and a node in each zone."""
     site.configure()
     model = "m" if service == "engines" else ""
     for number in range(workers):
-        worker = PlatformWorker(f"i-{number}", model=model, born=BORN)
-        worker.faults = WorkerFaults(crash_on=DEADLY, **faults)
-        site.revive_after_crashes(worker, service, DOWN_SECONDS)
+        worker = PlatformWorker(f"i-{number}", model=model, born=START_TIME_MS)
+        worker.faults = WorkerFaults(crash_on=CRASHING_BODY, **faults)
+        site.revive_after_crashes(worker, service, RESTART_SECONDS)
         await site.add_worker(worker, service)
     await site.add_nodes(zones)
     for number in range(20):
         await site.ask("/plain/", f"before-{number}", zones[number % len(zones)])
 
 
-async def repeat(site, path, zones, count=REPEATS, body=DEADLY, first=0, **options):
-    """A caller that repeats one content under new ids, at the nodes in turn."""
+async def send_repeatedly(site, path, zones, count=REPEATS, body=CRASHING_BODY, first=0, **options):
+    """Send the same request repeatedly under new ids, to the nodes in turn."""
     answers = []
     for number in range(first, first + count):
         zone = zones[number % len(zones)]
         answers.append(await site.ask(path, f"{path}{body}{number}", zone, body=body, **options))
-        await asyncio.sleep(REPEAT_SECONDS)
+        await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
     return answers
 
 
 def is_refused(answer) -> bool:
-    return answer.status == 503 and VERDICT.encode() in answer.body
+    return answer.status == 503 and REFUSAL_KIND.encode() in answer.body
 
 
 @pytest.mark.parametrize(
@@ -66,50 +57,52 @@
         pytest.param(("z1", "z2", "z3"), "/resumed/x", "engines", {"crash_after": 2}, id="resumed"),
     ],
 )
-async def test_a_request_that_ends_engines_reaches_few(site, zones, path, service, faults):
-    await site_of(site, zones, service, **faults)
+async def test_crashing_request_crashes_limited_number_of_workers(
+    site, zones, path, service, faults
+):
+    await start_site(site, zones, service, **faults)
     options = PROMPT if service == "engines" else {}
-    answers = await repeat(site, path, zones, **options)
-    assert len(site.crashes()) <= MOST_CRASHES
+    answers = await send_repeatedly(site, path, zones, **options)
+    assert len(site.crashes()) <= MAX_CRASHES
     assert is_refused(answers[-1])
     assert float(answers[-1].headers["retry-after"]) > 1
 
 
-async def test_nodes_that_start_again_still_refuse_it(site):
+async def test_restarted_nodes_still_refuse_crashing_request(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones)
-    await repeat(site, "/plain/x", zones)
+    await start_site(site, zones)
+    await send_repeatedly(site, "/plain/x", zones)
     before = len(site.crashes())
     for zone in zones:
         await site.restart_node(zone)
         await site.ready(zone)
-        await repeat(site, "/plain/x", (zone,), 3, first=100)
+        await send_repeatedly(site, "/plain/x", (zone,), 3, first=100)
     assert len(site.crashes()) <= before + 3
-    assert len(site.crashes()) <= MOST_CRASHES
+    assert len(site.crashes()) <= MAX_CRASHES
 
 
-async def test_what_ran_beside_it_is_served(site):
+async def test_request_running_next_to_crashing_one_is_served(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones, workers=2)
+    await start_site(site, zones, workers=2)
     slow = {"body": b"harmless"}
     for worker in site.workers.values():
         worker.seconds = 0.3
     for number in range(6):
-        beside = [
-            asyncio.create_task(site.ask("/plain/y", f"beside-{number}-{one}", "z1", **slow))
-            for one in range(4)
+        concurrent = [
+            asyncio.create_task(site.ask("/plain/y", f"beside-{number}-{index}", "z1", **slow))
+            for index in range(4)
         ]
         await asyncio.sleep(0.05)
-        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=DEADLY)
-        await asyncio.gather(*beside)
+        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
+        await asyncio.gather(*concurrent)
         await asyncio.sleep(0.8)
-    answers = await repeat(site, "/plain/y", zones, 3, body=b"harmless")
-    assert [one.status for one in answers] == [200] * 3
+    answers = await send_repeatedly(site, "/plain/y", zones, 3, body=b"harmless")
+    assert [answer.status for answer in answers] == [200] * 3
 
 
-async def test_what_is_always_sent_together_with_it_is_served_in_the_end(site):
+async def test_request_always_sent_with_crashing_one_is_eventually_served(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones)
+    await start_site(site, zones)
     for worker in site.workers.values():
         worker.seconds = 0.1
     served = []
@@ -117,50 +110,52 @@
         harmless = asyncio.create_task(
             site.ask("/plain/y", f"harmless-{number}", zones[number % 3], body=b"harmless")
         )
-        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=DEADLY)
+        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
         served.append((await harmless).status == 200)
-        await asyncio.sleep(REPEAT_SECONDS)
+        await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
     assert all(served[-3:])
-    assert len(site.crashes()) <= MOST_CRASHES
+    assert len(site.crashes()) <= MAX_CRASHES
 
 
-async def test_two_that_only_ever_ran_together_are_told_apart(site):
-    """One worker, so that each crash is of both until they have to run one at a time."""
-    await site_of(site, workers=1)
+async def test_harmless_and_crashing_requests_at_one_worker_are_distinguished(site):
+    """With one worker, both requests are suspected until they run one at a time."""
+    await start_site(site, workers=1)
     (worker,) = site.workers.values()
     worker.seconds = 0.1
-    harmless = []
+    statuses = []
     for number in range(8):
         port = int(worker.server.address.rpartition(":")[2])
         await until(lambda port=port: is_listening(port), "the worker is back")
-        beside = asyncio.create_task(site.ask("/plain/y", f"harmless-{number}", "z1", body=b"h"))
+        concurrent = asyncio.create_task(
+            site.ask("/plain/y", f"harmless-{number}", "z1", body=b"h")
+        )
         await asyncio.sleep(0.05)
-        await site.ask("/plain/x", f"deadly-{number}", "z1", body=DEADLY)
-        harmless.append((await beside).status)
+        await site.ask("/plain/x", f"deadly-{number}", "z1", body=CRASHING_BODY)
+        statuses.append((await concurrent).status)
         await asyncio.sleep(0.3)
-    assert harmless[-3:] == [200] * 3
-    assert is_refused(await site.ask("/plain/x", "deadly", "z1", body=DEADLY))
-    assert len(site.crashes()) <= MOST_CRASHES
+    assert statuses[-3:] == [200] * 3
+    assert is_refused(await site.ask("/plain/x", "deadly", "z1", body=CRASHING_BODY))
+    assert len(site.crashes()) <= MAX_CRASHES
 
 
-async def test_workers_that_end_together_condemn_nothing_that_many_ask_for(site):
+async def test_simultaneous_worker_crashes_do_not_block_frequent_request(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones, workers=6)
+    await start_site(site, zones, workers=6)
     for worker in site.workers.values():
         worker.seconds = 0.3
-    asked = [
-        asyncio.create_task(site.ask("/plain/y", f"asked-{one}", zones[one % 3], body=b"h"))
-        for one in range(24)
+    tasks = [
+        asyncio.create_task(site.ask("/plain/y", f"asked-{index}", zones[index % 3], body=b"h"))
+        for index in range(24)
     ]
     await asyncio.sleep(0.15)
     for worker in list(site.workers.values()):
         await worker.end()
-    answers = await asyncio.gather(*asked)
-    assert 502 in [one.status for one in answers]
+    answers = await asyncio.gather(*tasks)
+    assert 502 in [answer.status for answer in answers]
     await asyncio.sleep(1.0)
-    late = await repeat(site, "/plain/y", zones, 6, body=b"h", first=100)
-    assert [one.status for one in late[-3:]] == [200] * 3
-    assert not any(is_refused(one) for one in late)
+    later = await send_repeatedly(site, "/plain/y", zones, 6, body=b"h", first=100)
+    assert [answer.status for answer in later[-3:]] == [200] * 3
+    assert not any(is_refused(answer) for answer in later)
 
 
 def is_listening(port: int) -> bool:
@@ -168,21 +163,21 @@
         return probe.connect_ex(("127.0.0.1", port)) == 0
 
 
-async def test_connections_that_break_at_workers_that_live_condemn_nobody(site):
+async def test_lost_responses_of_live_workers_are_not_crashes(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones)
+    await start_site(site, zones)
     for worker in site.workers.values():
         worker.faults = WorkerFaults(lose_answer=3)
-    await repeat(site, "/plain/x", zones, body=b"harmless")
+    await send_repeatedly(site, "/plain/x", zones, body=b"harmless")
     for worker in site.workers.values():
         worker.faults = WorkerFaults()
-    answers = await repeat(site, "/plain/x", zones, 3, body=b"harmless", first=100)
-    assert [one.status for one in answers] == [200] * 3
+    answers = await send_repeatedly(site, "/plain/x", zones, 3, body=b"harmless", first=100)
+    assert [answer.status for answer in answers] == [200] * 3
 
 
-async def test_other_contents_and_other_tenants_are_served(site):
+async def test_other_requests_and_other_tenants_are_served(site):
     zones = ("z1", "z2", "z3")
-    await site_of(site, zones, crash_tenant="tenant-1")
+    await start_site(site, zones, crash_tenant="tenant-1")
     tenants = [
         {"name": "tenant-1", "api_keys": ["key-1"]},
         {"name": "tenant-2", "api_keys": ["key-2"]},
@@ -191,11 +186,11 @@
     for zone in zones:
         node = site.nodes[zone]
         await until(lambda node=node: node.configuration_version() == 2, "two tenants")
-    await repeat(site, "/plain/x", zones)
-    for one in (
-        await site.ask("/plain/x", "tenant", body=DEADLY, key="key-2", name="z1"),
+    await send_repeatedly(site, "/plain/x", zones)
+    for answer in (
+        await site.ask("/plain/x", "tenant", body=CRASHING_BODY, key="key-2", name="z1"),
         await site.ask("/plain/x", "body", body=b"other", name="z1"),
         await site.ask("/plain/x?q=1", "query", body=b"other", name="z1"),
     ):
-        assert one.status == 200
-    assert is_refused(await site.ask("/plain/x", "deadly", body=DEADLY, name="z1"))
+        assert answer.status == 200
+    assert is_refused(await site.ask("/plain/x", "deadly", body=CRASHING_BODY, name="z1"))
--- a/tests/probe/forwarding/test_dispatch.py
+++ b/tests/probe/forwarding/test_dispatch.py
@@ -1,4 +1,4 @@
-"""One node chooses workers for all; a lost one costs no request."""
+"""Choice of workers by a dispatcher for all nodes, and its loss without failed requests."""
 
 import asyncio
 
@@ -11,60 +11,61 @@
 ZONES = ("z1", "z2", "z3")
 
 
-async def fleet(site: Site, workers: int = 4, **options) -> None:
-    """Start three nodes, each its zone's relay, before some workers."""
+async def start_fleet(site: Site, workers: int = 4, **options) -> None:
+    """Start some workers and a relay node in each of the three zones."""
     site.configure()
     for number in range(workers):
         await site.add_worker(PlatformWorker(f"i-{number}", model="m", **options), "engines")
     await site.add_relays(ZONES)
 
 
-def prompt(session: str, own: str) -> dict[str, str]:
+def prompt(session: str, suffix: str) -> dict[str, str]:
     return {
         "Wheelslip_Model_Id": "m",
         "Wheelslip_Token_Usage": "4000,5",
-        "Wheelslip_Prefix_Hash": f"aa:1000,{session}:2000,{own}:1000",
+        "Wheelslip_Prefix_Hash": f"aa:1000,{session}:2000,{suffix}:1000",
     }
 
 
 def dispatcher_of(site: Site) -> str:
-    """Return the name of the node that has granted something."""
+    """Return the name of the node that has issued grants."""
     return next(name for name, node in site.nodes.items() if node.gauge("grants_given") > 0)
 
 
 async def test_nodes_of_all_zones_send_a_cold_prompt_to_one_worker(site):
-    await fleet(site)
-    asked = [
+    await start_fleet(site)
+    requests = [
         site.ask("/stream/x", f"r{number}", ZONES[number % 3], **prompt("5e55", f"{number:02x}"))
         for number in range(6)
     ]
-    assert all(answer.status == 200 for answer in await asyncio.gather(*asked))
+    assert all(answer.status == 200 for answer in await asyncio.gather(*requests))
     assert sum(bool(worker.runs) for worker in site.workers.values()) == 1
     assert sum(node.gauge("grants_given") > 0 for node in site.nodes.values()) == 1
     assert sum(node.gauge("requests_placed_alone") for node in site.nodes.values()) == 0
 
 
-async def test_a_dispatcher_that_stops_answering_is_passed_by_and_no_request_is_lost(site):
-    await fleet(site)
+async def test_unresponsive_dispatcher_is_replaced_without_lost_requests(site):
+    await start_fleet(site)
     assert (await site.ask("/stream/x", "first", "z1", **prompt("01", "a1"))).status == 200
     name = dispatcher_of(site)
     others = [zone for zone in ZONES if zone != name]
-    # Its process lives and holds its key, but nothing reaches it any more.
+    # The process keeps running and holds its lease, but receives no datagrams.
     site.nodes[name].hear_nothing()
-    given = {zone: site.nodes[zone].gauge("grants_given") for zone in others}
+    grants_before = {zone: site.nodes[zone].gauge("grants_given") for zone in others}
     number = 0
-    # Each node chooses alone until it has missed three answers; then it asks the next one.
-    while all(site.nodes[zone].gauge("grants_given") == given[zone] for zone in others):
+    # Each node chooses workers itself until three replies are missing, then uses the next
+    # dispatcher.
+    while all(site.nodes[zone].gauge("grants_given") == grants_before[zone] for zone in others):
         number += 1
         assert number < 400
-        asked = prompt(f"{number:04x}", "a2")
-        answer = await site.ask("/stream/x", f"r{number}", others[number % 2], **asked)
+        headers = prompt(f"{number:04x}", "a2")
+        answer = await site.ask("/stream/x", f"r{number}", others[number % 2], **headers)
         assert answer.status == 200
     assert sum(site.nodes[zone].gauge("requests_placed_alone") for zone in others) >= 3
 
 
-async def test_a_node_without_any_dispatcher_chooses_alone(site):
-    await fleet(site)
+async def test_node_without_dispatcher_chooses_worker_itself(site):
+    await start_fleet(site)
     for zone in ("z2", "z3"):
         site.nodes[zone].hear_nothing()
     node = site.nodes["z1"]
@@ -74,65 +75,63 @@
     assert node.gauge("requests_placed_alone") + node.gauge("dispatched_requests") == before + 1
 
 
-async def test_a_dispatcher_that_takes_over_learns_what_runs(site):
-    await fleet(site, workers=2, seconds=4)
+async def test_new_dispatcher_receives_running_requests(site):
+    await start_fleet(site, workers=2, seconds=4)
     callers = [await site.caller(zone) for zone in ZONES]
     for number, caller in enumerate(callers):
         caller.send("/stream/x", f"r{number}", **prompt(f"{number:02x}", "a1"))
-    await until(lambda: sum(len(one.runs) for one in site.workers.values()) == 3, "all run")
+    await until(lambda: sum(len(worker.runs) for worker in site.workers.values()) == 3, "all run")
     name = dispatcher_of(site)
-    lost = site.nodes.pop(name)
-    await lost.stop()
-    left = [zone for zone in ZONES if zone != name]
-    for zone in left:
-        asked = prompt("77", f"b{zone[1]}")
-        assert (await site.ask("/stream/x", f"late-{zone}", zone, **asked)).status == 200
-    assert sum(site.nodes[zone].gauge("grants_given") > 0 for zone in left) == 1
+    stopped = site.nodes.pop(name)
+    await stopped.stop()
+    remaining = [zone for zone in ZONES if zone != name]
+    for zone in remaining:
+        headers = prompt("77", f"b{zone[1]}")
+        assert (await site.ask("/stream/x", f"late-{zone}", zone, **headers)).status == 200
+    assert sum(site.nodes[zone].gauge("grants_given") > 0 for zone in remaining) == 1
     for caller in callers:
         caller.leave()
-    for zone in left:
+    for zone in remaining:
         node = site.nodes[zone]
         await until(lambda node=node: node.gauge("granted_requests") == 0, "all tickets ended")
 
 
-async def test_a_caller_that_leaves_before_a_connection_is_up_leaves_no_ticket(site, monkeypatch):
-    await fleet(site, workers=1)
+async def test_caller_disconnect_during_connect_releases_grant(site, monkeypatch):
+    await start_fleet(site, workers=1)
 
-    async def never(self, worker):
+    async def never_connect(self, worker):
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(WorkerPool, "acquire", never)
+    monkeypatch.setattr(WorkerPool, "acquire", never_connect)
     caller = await site.caller("z1")
     caller.send("/stream/x", "r1", **prompt("01", "a1"))
 
-    def tickets() -> float:
+    def active_grants() -> float:
         return sum(node.gauge("granted_requests") for node in site.nodes.values())
 
-    await until(lambda: tickets() == 1, "granted")
+    await until(lambda: active_grants() == 1, "granted")
     caller.leave()
-    await until(lambda: tickets() == 0, "the ticket has ended")
+    await until(lambda: active_grants() == 0, "the grant is released")
 
 
-async def test_a_caller_that_leaves_while_the_dispatcher_is_asked_leaves_no_ticket(
-    site, monkeypatch
-):
-    held = []
-    answer = DispatchServer._asked
-    monkeypatch.setattr(DispatchServer, "_asked", lambda *question: held.append(question))
+async def test_caller_disconnect_during_placement_query_releases_grant(site, monkeypatch):
+    delayed = []
+    process_query = DispatchServer._asked
+    monkeypatch.setattr(DispatchServer, "_asked", lambda *query: delayed.append(query))
     monkeypatch.setattr(DispatcherHealth, "timeout_seconds", lambda self, address: 30.0)
-    await fleet(site, workers=1)
+    await start_fleet(site, workers=1)
     dispatcher = site.nodes["z1"].known_relays()[0]
-    asker = next(zone for zone in ZONES if site.nodes[zone].settings.node.peers != dispatcher)
-    caller = await site.caller(asker)
+    sender = next(zone for zone in ZONES if site.nodes[zone].settings.node.peers != dispatcher)
+    caller = await site.caller(sender)
     caller.send("/stream/x", "r1", **prompt("01", "a1"))
-    await until(lambda: held, "the dispatcher is asked")
+    await until(lambda: delayed, "the query is sent")
     caller.leave()
-    await until(lambda: site.nodes[asker].gauge("running_requests") == 0, "the caller has left")
-    answer(*held[0])
+    await until(lambda: site.nodes[sender].gauge("running_requests") == 0, "the caller has left")
+    process_query(*delayed[0])
 
-    def tickets() -> float:
+    def active_grants() -> float:
         return sum(node.gauge("granted_requests") for node in site.nodes.values())
 
-    assert tickets() == 1
-    await until(lambda: tickets() == 0, "the ticket has ended")
+    assert active_grants() == 1
+    await until(lambda: active_grants() == 0, "the grant is released")
     assert not site.runs("r1")
--- a/tests/probe/forwarding/test_early_answer.py
+++ b/tests/probe/forwarding/test_early_answer.py
@@ -1,4 +1,4 @@
-"""A worker that answers before it has read a long body, and reads on later."""
+"""A worker that responds before it has read the request body."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class EarlyWorker:
-    """Answers each request at its head and reads the body afterwards, as one plain worker."""
+    """Stand-in worker that responds after the request head and reads the body afterwards."""
 
     def __init__(self):
         self.bodies: list[bytes] = []
@@ -33,7 +33,7 @@
                 request_id = values[b"wheelslip-request-id"].decode()
                 writer.write(self._answer(request_id))
                 await writer.drain()
-                # Only now the body is read: it must be this request's, to the last byte.
+                # The body must still arrive completely, followed by the next request head.
                 await asyncio.sleep(0.1)
                 self.bodies.append(await reader.readexactly(int(values[b"content-length"])))
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -57,7 +57,7 @@
     return worker
 
 
-async def test_an_early_answer_is_passed_on_and_the_body_still_comes_whole(site):
+async def test_early_response_is_forwarded_and_body_is_sent_completely(site):
     worker = await early_site(site)
     for number in range(4):
         answer = await site.ask("/plain/", f"r{number}", body=BODY)
--- a/tests/probe/forwarding/test_failures.py
+++ b/tests/probe/forwarding/test_failures.py
@@ -1,4 +1,4 @@
-"""Attempts that fail: what is repeated, what never, and what the caller is told."""
+"""Failed attempts: which requests are retried, and which response the caller receives."""
 
 from standins.platform_site import until
 from standins.platform_worker import PlatformWorker, WorkerFaults
@@ -6,7 +6,7 @@
 
 
 async def plain_pair(site, faults: WorkerFaults):
-    """Two plain workers with the same faults, and enough traffic to have a retry budget."""
+    """Start two plain workers with the same faults, and send traffic to fill the retry budget."""
     site.configure()
     pair = [PlatformWorker(f"i-{number}") for number in (1, 2)]
     for worker in pair:
@@ -20,9 +20,9 @@
     return pair
 
 
-async def engines(site, count, **worker):
+async def start_engines(site, count, **options):
     site.configure()
-    fleet = [PlatformWorker(f"i-{number}", model="m", **worker) for number in range(count)]
+    fleet = [PlatformWorker(f"i-{number}", model="m", **options) for number in range(count)]
     for engine in fleet:
         await site.add_worker(engine, "engines")
     await site.add_node()
@@ -32,32 +32,32 @@
     return fleet
 
 
-async def test_a_lost_answer_of_what_may_not_be_repeated_runs_once_and_is_not_called_not_run(site):
+async def test_lost_response_of_non_repeatable_request_runs_once_and_returns_502(site):
     await plain_pair(site, WorkerFaults(lose_answer=9))
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 502 and "retry-after" in answer.headers
     assert len(site.runs("r1")) == 1
 
 
-async def test_a_lost_answer_of_what_may_be_repeated_is_asked_elsewhere(site):
+async def test_lost_response_of_repeatable_request_is_retried_at_another_worker(site):
     pair = await plain_pair(site, WorkerFaults())
     for worker in pair:
         worker.faults = WorkerFaults(lose_answer=1)
     answer = await site.ask("/safe/", "r1")
     runs = site.runs("r1")
-    # Two attempts are the most; both lose their answer here.
+    # The maximum is two attempts, and both lose their response.
     assert len(runs) == 2 and answer.status == 502
     assert len({run.request.headers["wheelslip-expect-instance"] for run in runs}) == 2
 
 
-async def test_a_request_that_every_worker_turned_away_is_told_as_not_run(site):
+async def test_request_rejected_by_every_worker_is_reported_as_not_run(site):
     await plain_pair(site, WorkerFaults(shed=99))
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
     assert site.runs("r1") == []
 
 
-async def test_one_refusal_is_made_good_by_another_worker(site):
+async def test_rejected_request_is_served_by_another_worker(site):
     pair = await plain_pair(site, WorkerFaults())
     pair[0].faults = WorkerFaults(shed=99)
     for number in range(4):
@@ -66,7 +66,7 @@
         assert len(site.runs(f"r{number}")) == 1
 
 
-async def test_repeats_stop_with_the_budget(site):
+async def test_retries_stop_when_budget_is_exhausted(site):
     faults = WorkerFaults(shed=10_000)
     await plain_pair(site, faults)
     for number in range(40):
@@ -74,30 +74,30 @@
     assert 40 <= 10_000 - faults.shed <= 40 + 0.2 * 60
 
 
-async def test_a_failure_of_a_worker_is_passed_on_with_its_signature(site, caplog):
+async def test_server_error_of_worker_is_forwarded_with_signature(site, caplog):
     await plain_pair(site, WorkerFaults(status=500))
     with caplog.at_level("INFO", logger="wheelslip"):
         answer = await site.ask("/plain/", "r1")
     assert answer.status == 500
-    (ended,) = [one for one in caplog.records if one.getMessage() == "request_finished"]
-    assert ended.outcome == "failed"
+    (finished,) = [record for record in caplog.records if record.getMessage() == "request_finished"]
+    assert finished.outcome == "failed"
     assert answer.headers["wheelslip-response-signature"].endswith("-r1")
     assert len(site.runs("r1")) == 1
 
 
-async def test_a_success_without_a_signature_is_not_passed_on(site):
+async def test_unsigned_success_returns_502(site):
     await plain_pair(site, WorkerFaults(unsigned=True))
     assert (await site.ask("/plain/", "r1")).status == 502
 
 
-async def test_an_answer_to_another_request_reaches_nobody(site):
+async def test_response_to_another_request_is_skipped(site):
     await plain_pair(site, WorkerFaults(foreign_first=True))
     for number in range(3):
         answer = await site.ask("/plain/", f"r{number}")
         assert answer.body.endswith(f"to r{number}".encode())
 
 
-async def test_bytes_after_a_whole_answer_reach_nobody(site):
+async def test_bytes_after_complete_response_are_discarded(site):
     await plain_pair(site, WorkerFaults(surplus_after=True))
     caller = await site.caller()
     for number in range(5):
@@ -106,27 +106,29 @@
         assert answer.body.endswith(f"to r{number}".encode())
 
 
-async def test_another_incarnation_at_an_address_runs_nothing_and_is_passed_over(site):
+async def test_other_incarnation_at_same_address_runs_nothing(site):
     pair = await plain_pair(site, WorkerFaults())
     assert (await site.ask("/plain/", "before")).status == 200
-    # The one to which the node has a connection: its next request goes there first.
-    (replaced,) = [one for one in pair if "before" in [run.request_id for run in one.runs]]
+    # The worker to which the node has an idle connection is preferred for the next request.
+    (replaced,) = [worker for worker in pair if "before" in [run.request_id for run in worker.runs]]
     replaced.id = "i-replaced"
     for number in range(4):
         assert (await site.ask("/plain/", f"r{number}")).status == 200
     assert not [run for run in replaced.runs if run.request_id.startswith("r")]
 
 
-async def test_a_broken_stream_goes_on_elsewhere_without_a_gap_or_a_repeat(site):
-    fleet = await engines(site, 2, events=6)
+async def test_interrupted_stream_resumes_at_another_worker_without_gap_or_duplicate(site):
+    fleet = await start_engines(site, 2, events=6)
     for engine in fleet:
         engine.faults = WorkerFaults(break_after=3)
-    first = {engine.id: len(engine.runs) for engine in fleet}
+    runs_before = {engine.id: len(engine.runs) for engine in fleet}
     caller = await site.caller()
     caller.send("/resumed/x", "r1", **PROMPT)
-    await until(lambda: any(len(one.runs) > first[one.id] for one in fleet), "first attempt")
+    await until(
+        lambda: any(len(engine.runs) > runs_before[engine.id] for engine in fleet), "first attempt"
+    )
     for engine in fleet:
-        if len(engine.runs) == first[engine.id]:
+        if len(engine.runs) == runs_before[engine.id]:
             engine.faults = WorkerFaults()
     answer = await caller.answer()
     assert answer.complete
@@ -136,8 +138,8 @@
     assert sorted(resumed_after, key=str) == ["3", None]
 
 
-async def test_a_broken_stream_that_may_not_go_on_does_not_look_complete(site):
-    fleet = await engines(site, 2, events=6)
+async def test_interrupted_non_resumable_stream_is_incomplete(site):
+    fleet = await start_engines(site, 2, events=6)
     for engine in fleet:
         engine.faults = WorkerFaults(break_after=3)
     answer = await site.ask("/stream/x", "r1", **PROMPT)
@@ -146,22 +148,22 @@
     assert len(site.runs("r1")) == 1
 
 
-async def test_a_worker_that_cannot_be_reached_costs_no_attempt(site):
+async def test_unreachable_worker_does_not_fail_requests(site):
     pair = await plain_pair(site, WorkerFaults())
     await pair[0].server.stop()
     for number in range(6):
         assert (await site.ask("/plain/", f"r{number}")).status == 200
 
 
-async def test_a_draining_or_vanished_worker_gets_nothing_new(site):
+async def test_draining_or_removed_worker_gets_no_new_requests(site):
     pair = await plain_pair(site, WorkerFaults())
     site.enter(pair[0], "plain", state="draining")
     await until(lambda: True, "change written")
-    seen = len(pair[0].runs)
+    runs_before = len(pair[0].runs)
     node = site.nodes["n1"]
     await until(lambda: not node.takes_new_work("i-1"), "draining seen")
     site.model.remove("servers/i-1")
     await until(lambda: "i-1" not in node.known_workers(), "vanished seen")
     for number in range(5):
         assert (await site.ask("/plain/", f"r{number}")).status == 200
-    assert len(pair[0].runs) == seen
+    assert len(pair[0].runs) == runs_before
--- a/tests/probe/forwarding/test_path.py
+++ b/tests/probe/forwarding/test_path.py
@@ -1,4 +1,4 @@
-"""The path of a forwarded request, and what reaches a worker."""
+"""Forwarding of requests to workers and of responses to callers."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 PROMPT = LLM | {"Wheelslip_Prefix_Hash": "aa:100,bb:100,cc:100"}
 
 
-async def plain_site(site, **worker):
+async def plain_site(site, **options):
     site.configure()
-    one = await site.add_worker(PlatformWorker("i-1", **worker), "plain")
+    worker = await site.add_worker(PlatformWorker("i-1", **options), "plain")
     await site.add_node()
     await site.ready()
-    return one
+    return worker
 
 
-async def engine_site(site, count=1, **worker):
+async def engine_site(site, count=1, **options):
     site.configure()
-    engines = [PlatformWorker(f"i-{n}", model="m", **worker) for n in range(1, count + 1)]
+    engines = [PlatformWorker(f"i-{n}", model="m", **options) for n in range(1, count + 1)]
     for engine in engines:
         await site.add_worker(engine, "engines")
     await site.add_node()
@@ -40,28 +40,28 @@
     assert 0 < int(run.request.headers["wheelslip-deadline-ms"]) <= 5000
 
 
-async def test_a_streamed_answer_comes_whole(site):
+async def test_streamed_response_is_complete(site):
     await engine_site(site, events=5)
     answer = await site.ask("/stream/x", "r1", **PROMPT)
     assert answer.status == 200 and answer.complete
     assert answer.body.count(b"data: token") == 5
 
 
-async def test_unknown_route_and_key(site):
+async def test_unknown_route_and_key_return_404_and_401(site):
     worker = await plain_site(site)
     assert (await site.ask("/nowhere/", "r1")).status == 404
     assert (await site.ask("/plain/", "r2", key="wrong")).status == 401
     assert worker.runs == []
 
 
-async def test_a_node_without_a_configuration_answers_503_and_is_not_ready(site):
+async def test_node_without_configuration_returns_503_and_is_not_ready(site):
     node = await site.add_node()
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
     assert not node.is_ready()
 
 
-async def test_salt_changes_with_version_and_wall(site):
+async def test_cache_salt_separates_isolated_tenants(site):
     document = configuration()
     document["tenants"].append({"name": "apart", "api_keys": ["k2"], "isolated": True})
     site.configure(document)
@@ -75,10 +75,10 @@
     assert {run.request.headers["wheelslip-expect-version"] for run in engine.runs} == {"1"}
 
 
-async def test_a_callers_close_is_seen_while_the_worker_is_silent(site):
+async def test_caller_disconnect_closes_connection_to_silent_worker(site):
     document = configuration()
     for route in document["routes"]:
-        # Far beyond the test's patience, so that no timeout closes in the caller's place.
+        # Longer than the test, so that only the caller's disconnect closes the connection.
         route["timeout_ms"] = 120_000
     site.configure(document)
     worker = await site.add_worker(PlatformWorker("i-1", seconds=120), "plain")
@@ -91,7 +91,7 @@
     await until(lambda: worker.runs[0].closed_early, "worker's connection closed")
 
 
-async def test_a_callers_close_ends_a_stream(site):
+async def test_caller_disconnect_ends_stream(site):
     (engine,) = await engine_site(site, events=1000, seconds=0.05)
     caller = await site.caller()
     caller.send("/stream/x", "r1", **PROMPT)
@@ -110,7 +110,7 @@
         assert answer.body == f"answer of i-1 to r{number}".encode()
 
 
-async def test_two_framings_of_one_body_are_refused(site):
+async def test_body_with_two_framings_is_rejected(site):
     worker = await plain_site(site)
     caller = await site.caller()
     caller.writer.write(
@@ -123,7 +123,7 @@
     assert worker.runs == []
 
 
-async def test_a_chunked_body_reaches_the_worker(site):
+async def test_chunked_body_reaches_worker(site):
     worker = await plain_site(site)
     caller = await site.caller()
     caller.writer.write(
@@ -135,13 +135,13 @@
     assert worker.runs[0].request.body == b"abcde"
 
 
-async def test_a_body_over_the_limit_is_refused(site):
+async def test_body_over_limit_is_rejected(site):
     worker = await plain_site(site)
     answer = await site.ask("/plain/", "r1", body=b"x" * 100_001)
     assert answer.status == 413 and worker.runs == []
 
 
-async def test_route_timeout_ends_a_request(site):
+async def test_route_timeout_returns_504(site):
     document = configuration()
     for route in document["routes"]:
         route["timeout_ms"] = 300
@@ -153,13 +153,13 @@
     assert answer.status == 504 and "retry-after" not in answer.headers
 
 
-async def test_an_answer_without_length_comes_whole(site):
+async def test_response_without_length_is_complete(site):
     await plain_site(site, faults=WorkerFaults(unframed=True))
     answer = await site.ask("/plain/", "r1")
     assert answer.body == b"answer of i-1 to r1" and answer.complete
 
 
-async def test_bodies_held_at_one_time_are_bounded(site):
+async def test_request_over_body_memory_limit_is_rejected(site):
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1", seconds=30), "plain")
     node = await site.add_node()
--- a/tests/probe/forwarding/test_planned_stop.py
+++ b/tests/probe/forwarding/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop finishes what runs and takes nothing that it could not finish."""
+"""A planned stop finishes running requests and rejects those it could not finish."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
     await stopping
 
 
-async def test_a_kept_connection_is_served_while_callers_move_away(site):
+async def test_persistent_connection_is_served_and_closed_during_stop(site):
     node, worker = await slow_site(site, seconds=0.0)
     caller = await site.caller()
     stopping = asyncio.create_task(node.stop())
@@ -41,7 +41,7 @@
     await stopping
 
 
-async def test_what_comes_late_in_a_stop_is_refused_as_not_run(site):
+async def test_request_late_in_stop_is_rejected_without_running(site):
     node, worker = await slow_site(site, seconds=4.0)
     caller, late = await site.caller(), await site.caller()
     caller.send("/plain/", "r1")
@@ -56,7 +56,7 @@
     await stopping
 
 
-async def test_settings_are_read_again_and_bad_ones_leave_the_old_in_force(site):
+async def test_reload_applies_valid_settings_and_ignores_invalid_ones(site):
     node, _ = await slow_site(site, seconds=0.0)
     path = site.settings("n1", retry_ratio=0.4)
     node.reload()
@@ -67,10 +67,8 @@
     assert (await site.ask("/plain/", "r1")).status == 200
 
 
-async def test_a_request_that_comes_in_as_the_stop_ends_is_refused_and_not_begun(site):
-    """A request had run when a planned stop ended it 10 ms later: its head was coming in as the stop found
-    nothing running any more, and what came in after that look was still taken. ``node_stop_requested``
-    at 2.62 s, ``node_stopped`` at 5.32 s, the connection closed at 5.327 s without an answer."""
+async def test_request_received_as_stop_ends_is_rejected_without_running(site):
+    """Guards against running a request whose head arrives while the node shuts down."""
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1", seconds=0.3), "plain")
     node = await site.add_node()
--- a/tests/unit/forwarding/test_content_trials.py
+++ b/tests/unit/forwarding/test_content_trials.py
@@ -1,4 +1,4 @@
-"""Turns of suspected contents: one node at a time, and few calls of the store."""
+"""Trial locks: exclusive between nodes, expiring, and with limited load on the store."""
 
 import asyncio
 
@@ -16,23 +16,23 @@
 
 
 class Store:
-    """One key with compare-and-swap; the view learns of it when the test says so."""
+    """One key with compare-and-swap; the tests update the registry view themselves."""
 
     def __init__(self):
         self.revision = 0
-        self.last = 10
+        self.last_revision = 10
         self.calls = 0
-        self.down = False
+        self.unavailable = False
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
         self.calls += 1
-        if self.down:
+        if self.unavailable:
             raise KeyValueUnavailable("down")
         if transaction.expected[KEY] != self.revision:
             return TransactionResult(False, 0)
-        self.last += 1
-        self.revision = self.last if isinstance(transaction.changes[0], Put) else 0
-        return TransactionResult(True, self.last)
+        self.last_revision += 1
+        self.revision = self.last_revision if isinstance(transaction.changes[0], Put) else 0
+        return TransactionResult(True, self.last_revision)
 
 
 @pytest.fixture
@@ -41,42 +41,42 @@
 
 
 @pytest.fixture
-def trials(store, registry, clock):
-    one = TrialLocks("n1", store, registry, clock)
-    registry.on_own_entry = one.entry_changed
-    return one
+def locks(store, registry, clock):
+    trial_locks = TrialLocks("n1", store, registry, clock)
+    registry.on_own_entry = trial_locks.entry_changed
+    return trial_locks
 
 
-def test_a_turn_is_one_nodes_until_it_is_given_back(trials, store, registry, clock):
+def test_trial_lock_is_exclusive_until_released(locks, store, registry, clock):
     other = TrialLocks("n2", store, registry, clock)
-    trial = asyncio.run(trials.acquire("s"))
-    assert trial is not None and asyncio.run(other.acquire("s")) is None
-    asyncio.run(trials.release(trial))
+    lock = asyncio.run(locks.acquire("s"))
+    assert lock is not None and asyncio.run(other.acquire("s")) is None
+    asyncio.run(locks.release(lock))
     clock.now += ACQUIRE_RETRY_SECONDS
     assert asyncio.run(other.acquire("s")) is not None
 
 
-def test_a_node_whose_view_shows_anothers_turn_calls_nobody(trials, store, registry):
+def test_lock_held_in_view_makes_no_store_call(locks, store, registry):
     registry.apply(KEY, b"n2", 11)
-    assert asyncio.run(trials.acquire("s")) is None
+    assert asyncio.run(locks.acquire("s")) is None
     assert store.calls == 0
 
 
-def test_a_turn_of_a_node_that_died_becomes_void(trials, store, registry, clock):
+def test_expired_lock_can_be_acquired(locks, store, registry, clock):
     store.revision = 11
     registry.apply(KEY, b"n2", 11)
     clock.now += LOCK_EXPIRY_SECONDS
-    assert asyncio.run(trials.acquire("s")) is not None
+    assert asyncio.run(locks.acquire("s")) is not None
 
 
-def test_a_content_that_many_ask_for_costs_few_calls(trials, store, clock):
+def test_repeated_acquire_calls_store_at_limited_rate(locks, store, clock):
     store.revision = 99
     for _ in range(100):
-        assert asyncio.run(trials.acquire("s")) is None
+        assert asyncio.run(locks.acquire("s")) is None
         clock.now += 0.01
     assert store.calls == 1 / ACQUIRE_RETRY_SECONDS
 
 
-def test_without_the_store_nobody_has_a_turn(trials, store):
-    store.down = True
-    assert asyncio.run(trials.acquire("s")) is None
+def test_unavailable_store_grants_no_lock(locks, store):
+    store.unavailable = True
+    assert asyncio.run(locks.acquire("s")) is None
--- a/tests/unit/forwarding/test_event_stream.py
+++ b/tests/unit/forwarding/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events only, whatever the cuts between bytes."""
+"""Event splitting returns complete events only, however the bytes are chunked."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("size", range(1, len(STREAM) + 1))
-def test_events_are_the_same_however_their_bytes_come(size):
+def test_events_are_independent_of_chunk_size(size):
     splitter = EventSplitter()
     events = []
     for start in range(0, len(STREAM), size):
@@ -18,7 +18,7 @@
     assert not splitter.incomplete
 
 
-def test_part_of_an_event_is_held_back():
+def test_incomplete_event_is_buffered():
     splitter = EventSplitter()
     assert [event.id for event in splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")] == [1]
     assert splitter.incomplete
