--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -23,11 +23,12 @@
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.worker_pool import WorkerPool
 
-WEIGHTS_EXPIRY_MARGIN_SECONDS = 0.2
-"""A request without a first token is cancelled this long before its weights version expires."""
+START_DEADLINE_MARGIN_SECONDS = 0.2
+"""A request without a first token is cancelled this long before the start deadline of its weights
+version."""
 
-WEIGHTS_CHECK_SECONDS = 1.0
-"""Longest interval between two checks of the expiry of the weights version."""
+START_DEADLINE_CHECK_SECONDS = 1.0
+"""Maximum interval between two checks of the start deadline."""
 
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 """Maximum size of the body of a buffered response; the attempt fails if it is exceeded."""
@@ -124,32 +125,32 @@
         self._caller = caller
         self.had_first_token = False
         self._sent_at = services.clock()
-        self._expiry_timer: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self.released = False
 
     def finish(self) -> None:
-        """Stop the expiry timer, and close the connection unless it was returned to the pool."""
-        if self._expiry_timer is not None:
-            self._expiry_timer.cancel()
+        """Stop the deadline timer, and close the connection unless it was returned to the pool."""
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
         if not self.released:
             self._connection.close()
 
-    def _cancel_if_weights_expire(self) -> None:
-        """Cancel the request if its weights version expires before the first token.
+    def _check_start_deadline(self) -> None:
+        """Cancel a request without a first token at the start deadline of its weights version.
 
-        The expiry is checked periodically, as newer weights may be announced in the meantime.
+        The deadline is read again periodically, as it changes when newer weights are announced.
         """
         if self._placement.weights_version is None or self.had_first_token:
             return
-        expires_at = self._services.registry.begins_until(
+        deadline = self._services.registry.begins_until(
             self._job.request.metadata.model, self._placement.weights_version
         )
-        remaining = expires_at - WEIGHTS_EXPIRY_MARGIN_SECONDS - self._services.clock()
+        remaining = deadline - START_DEADLINE_MARGIN_SECONDS - self._services.clock()
         if remaining <= 0:
             self._connection.close()
             return
-        self._expiry_timer = asyncio.get_running_loop().call_later(
-            min(remaining, WEIGHTS_CHECK_SECONDS), self._cancel_if_weights_expire
+        self._deadline_timer = asyncio.get_running_loop().call_later(
+            min(remaining, START_DEADLINE_CHECK_SECONDS), self._check_start_deadline
         )
 
     async def run(self) -> AttemptOutcome:
@@ -157,7 +158,7 @@
         job = self._job
         job.attempts_sent += 1
         job.may_have_run += 1
-        self._cancel_if_weights_expire()
+        self._check_start_deadline()
         try:
             self._send()
             response, answer = await self._read_head()
--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -92,7 +92,7 @@
         """Start to check whether a worker that lost a response has crashed."""
         self._evidence.lost(job.fingerprint, worker, job.on_trial, job.last_sent_at)
 
-    def record_completed(self, job: Job) -> None:
+    def record_completed_run(self, job: Job) -> None:
         """Record that a request was executed completely, which clears its crashes."""
         if self._ledger and self._ledger.crashes(job.fingerprint):
             self.reports.add_whole_run(job.fingerprint)
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -194,7 +194,7 @@
             assignment = await self._assign(job, service)
             outcome = await self._attempt(job, assignment, caller)
             if outcome is AttemptOutcome.ANSWERED:
-                self._crash_guard.record_completed(job)
+                self._crash_guard.record_completed_run(job)
                 return
             self._record_failed_attempt(job, assignment, outcome)
             if not self._may_retry(job, outcome, budget):
@@ -357,7 +357,7 @@
         incarnation = job.last_incarnation = assignment.placement.worker.info.id
         job.last_sent_at = self._clock()
         notices = self._registry.notices
-        turn, outcome = notices.begin(incarnation), None
+        recovery_slot, outcome = notices.begin(incarnation), None
         assignment.begin()
         attempt = Attempt(self._services, job, assignment, connection, caller)
         try:
@@ -366,4 +366,4 @@
         finally:
             attempt.finish()
             assignment.end(attempt.had_first_token)
-            notices.ended(turn, outcome in _SERVED)
+            notices.ended(recovery_slot, outcome in _SERVED)
--- a/tests/probe/forwarding/test_dispatch.py
+++ b/tests/probe/forwarding/test_dispatch.py
@@ -93,7 +93,7 @@
         caller.leave()
     for zone in remaining:
         node = site.nodes[zone]
-        await until(lambda node=node: node.gauge("granted_requests") == 0, "all tickets ended")
+        await until(lambda node=node: node.gauge("granted_requests") == 0, "all grants released")
 
 
 async def test_caller_disconnect_during_connect_releases_grant(site, monkeypatch):
