--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -54,10 +54,10 @@
     def workers_of(self, service: str) -> list[Worker]:
         return list(self.workers.values())
 
-    def loading_now(self) -> frozenset[str]:
+    def loading_workers(self) -> frozenset[str]:
         return frozenset()
 
-    def begins_until(self, model: str, version: int) -> float:
+    def start_deadline(self, model: str, version: int) -> float:
         return float("inf")
 
 
--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -290,7 +290,7 @@
         "a worker's starts are one",
         FORWARDING,
         "forwarding/worker_view.py",
-        "elif info.id == known.info.id:",
+        "elif info.id == current.info.id:",
         "elif True:",
         "forwarding/test_restarted_worker.py::test_no_request_reaches_the_start_that_left",
     ),
@@ -298,7 +298,7 @@
         "an entry that names no worker is passed over",
         FORWARDING,
         "forwarding/registry.py",
-        "self.view.take_unusable(worker_id)",
+        "self.view.mark_unusable(worker_id)",
         "pass",
         "forwarding/test_unusable_entries.py::"
         "test_a_worker_whose_entry_names_none_gets_no_requests_and_the_others_hold",
@@ -307,7 +307,7 @@
         "a worker's starts are one, in random histories",
         FORWARDING,
         "forwarding/worker_view.py",
-        "elif info.id == known.info.id:",
+        "elif info.id == current.info.id:",
         "elif True:",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -316,7 +316,7 @@
         "an older start's late entry is taken at once",
         FORWARDING,
         "forwarding/worker_view.py",
-        "if known is not None and info.born < known.info.born:",
+        "if current is not None and info.born < current.info.born:",
         "if False:",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -325,7 +325,7 @@
         "an entry that names no worker is passed over, in random histories",
         FORWARDING,
         "forwarding/registry.py",
-        "self.view.take_unusable(worker_id)",
+        "self.view.mark_unusable(worker_id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -334,7 +334,7 @@
         "connections outlive their start",
         FORWARDING,
         "forwarding/worker_view.py",
-        "self.on_gone(info.id)",
+        "self.on_removed(info.id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -343,7 +343,7 @@
         "a listing that is behind removes what is newer",
         FORWARDING,
         "forwarding/registry.py",
-        "if key not in entries and self.log.revision_of(key) <= at:",
+        "if key not in entries and self.entry_log.revision_of(key) <= listing_revision:",
         "if key not in entries:",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -352,7 +352,7 @@
         "removed keys are not remembered",
         FORWARDING,
         "forwarding/entry_log.py",
-        "self._gone[key] = revision",
+        "self._removed[key] = revision",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
         "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
@@ -370,7 +370,7 @@
         "a forgotten removal is no removal",
         FORWARDING,
         "forwarding/entry_log.py",
-        "if self._has_gone(key, revision):",
+        "if self._is_removed(key, revision):",
         "if False:",
         "../unit/forwarding/test_entry_log.py::"
         "test_a_removal_that_was_forgotten_is_not_undone_by_an_older_listing",
@@ -517,7 +517,7 @@
         FORWARDING,
         "forwarding/forwarder.py",
         "if not self._registry.may_begin(worker.id, assignment.placement.is_counted):",
-        "if not self._registry.takes_requests(worker.id):",
+        "if not self._registry.accepts_requests(worker.id):",
         "forwarding/test_said_in_answers.py"
         "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
     ),
@@ -534,7 +534,7 @@
         "a view's age is looked at only between two polls",
         FORWARDING,
         "forwarding/registry_sync.py",
-        "while not await self._has_ended(poll):\n                await self._look()\n",
+        "while not await self._poll_finished(poll):\n                await self._probe_store()\n",
         "await asyncio.wait({poll})\n",
         "forwarding/test_reader_cut_then_silent.py"
         "::test_two_troubles_in_a_row_are_noticed_in_the_time_of_one",
@@ -543,7 +543,7 @@
         "silent peers are asked however long it takes",
         FORWARDING,
         "forwarding/registry_sync.py",
-        "async with asyncio.timeout(ASKING_SECONDS):",
+        "async with asyncio.timeout(PEER_POLLS_TIMEOUT_SECONDS):",
         "async with asyncio.timeout(None):",
         "../unit/forwarding/test_silent_peers.py"
         "::test_silent_peers_do_not_keep_a_node_from_a_store_that_answers",
@@ -578,7 +578,7 @@
         "a start that left comes up again by a late entry",
         FORWARDING,
         "forwarding/worker_view.py",
-        "left is not None and info.born <= left",
+        "departed is not None and info.born <= departed",
         "False",
         "../unit/forwarding/test_start_that_left.py"
         "::test_a_start_whose_entry_was_removed_does_not_come_up_by_a_late_entry",
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -133,7 +133,7 @@
         """
         if self._placement.weights_version is None or self.had_first_token:
             return
-        until = self._services.registry.begins_until(
+        until = self._services.registry.start_deadline(
             self._job.request.metadata.model, self._placement.weights_version
         )
         remaining = until - BEGIN_GUARD_SECONDS - self._services.clock()
@@ -210,7 +210,7 @@
             return
         registry.notices.heard(info, status, answer, AnswerSource.REQUEST, self._sent_at)
         if answer.weights_version is not None and model:
-            registry.note_weights(info.id, model, answer.weights_version)
+            registry.record_weights(info.id, model, answer.weights_version)
 
     def _note_outcome(self, failed: bool) -> None:
         self._assignment.note_outcome(failed)
--- a/src/wheelslip/forwarding/content_trials.py
+++ b/src/wheelslip/forwarding/content_trials.py
@@ -51,7 +51,7 @@
         """Take a change of one of the system's own keys into account."""
         if not key.startswith(TRIALS_PREFIX):
             return
-        if self._registry.own_entry(key) is None:
+        if self._registry.system_entry(key) is None:
             self._void_at.pop(key, None)
         else:
             self._void_at[key] = self._clock() + VOID_SECONDS
@@ -63,7 +63,7 @@
         if now < max(self._void_at.get(key, 0.0), self._next_try_at.get(key, 0.0)):
             return None
         self._next_try_at[key] = now + TAKE_PAUSE_SECONDS
-        entry = self._registry.own_entry(key)
+        entry = self._registry.system_entry(key)
         expected = {key: entry[1] if entry else 0}
         try:
             put = Put(key, self._node.encode())
--- a/src/wheelslip/forwarding/crash_evidence.py
+++ b/src/wheelslip/forwarding/crash_evidence.py
@@ -71,7 +71,7 @@
         :param alone: no other suspected content ran.
         :param sent_at: when it was sent; by default just now.
         """
-        if not self._registry.takes_requests(worker.id) or self._had_ended(worker.id, sent_at):
+        if not self._registry.accepts_requests(worker.id) or self._had_ended(worker.id, sent_at):
             return
         contents = self._suspected.setdefault(worker.id, {})
         contents[content] = alone or contents.get(content, False)
@@ -132,7 +132,7 @@
 
     def _is_replaced(self, worker: WorkerInfo) -> bool:
         """Whether a later start of the engine is known, or another process at its address."""
-        known = self._registry.view.of_id(worker.worker_id)
+        known = self._registry.view.by_id(worker.worker_id)
         if known is None:
             return False
         return known.info.born > worker.born or (known.info.id == worker.id and known.replaced)
--- a/src/wheelslip/forwarding/crash_reports.py
+++ b/src/wheelslip/forwarding/crash_reports.py
@@ -119,7 +119,7 @@
         """Take a change of one of the system's own keys into account."""
         if not key.startswith(CRASHES_PREFIX):
             return
-        report = self._registry.own_record(key, CrashReport)
+        report = self._registry.system_record(key, CrashReport)
         if report is None:
             return
         if key == self._key:
@@ -177,7 +177,7 @@
                 await asyncio.sleep(self._random.uniform(*RETRY_SECONDS))
 
     async def _write(self) -> None:
-        entry = self._registry.own_entry(self._key)
+        entry = self._registry.system_entry(self._key)
         revision = entry[1] if entry else 0
         result = await self._put(revision)
         if not result.succeeded:
--- a/src/wheelslip/forwarding/entry_log.py
+++ b/src/wheelslip/forwarding/entry_log.py
@@ -10,11 +10,11 @@
 
 from wheelslip.keyvalue.model import WatchCompacted
 
-MAX_GONE = 1000
+MAX_REMOVED_KEYS = 1000
 """Removed keys remembered; whoever asks for changes from before the oldest reads all anew."""
 
 
-PACKED_BYTES = 1024
+COMPRESSION_THRESHOLD_BYTES = 1024
 """Values from this size on are kept and passed on packed. A configuration of 30 KB goes to all
 followers of a relay at once, and holds up all else on its link: 26 ms for each on a link of
 10 Mbit/s. Workers' entries are smaller."""
@@ -23,27 +23,27 @@
 class EntryChange(NamedTuple):
     """One key as it was last changed; ``value`` is ``None`` when it has gone.
 
-    :ivar packed: the value is compressed (zlib).
+    :ivar compressed: the value is compressed (zlib).
     """
 
     key: str
     value: bytes | None
     revision: int
-    packed: bool = False
+    compressed: bool = False
 
     @classmethod
-    def of(cls, key: str, value: bytes, revision: int) -> "EntryChange":
+    def from_value(cls, key: str, value: bytes, revision: int) -> "EntryChange":
         """Return a change to a value, packed if that is worth it."""
-        if len(value) < PACKED_BYTES:
+        if len(value) < COMPRESSION_THRESHOLD_BYTES:
             return cls(key, value, revision)
-        return cls(key, zlib.compress(value), revision, packed=True)
+        return cls(key, zlib.compress(value), revision, compressed=True)
 
-    def unpacked(self) -> "EntryChange":
+    def decompressed(self) -> "EntryChange":
         """Return the change with its value as it is in the store.
 
         :raises ValueError: when it cannot be unpacked.
         """
-        if not self.packed:
+        if not self.compressed:
             return self
         try:
             return EntryChange(self.key, zlib.decompress(self.value), self.revision)
@@ -54,15 +54,15 @@
 class EntryLog:
     """Keys by name, each at its highest revision seen.
 
-    :ivar at: revision of the store up to which every change is in this log.
+    :ivar revision: revision of the store up to which every change is in this log.
     """
 
     def __init__(self):
         self._entries: dict[str, EntryChange] = {}
-        self._gone: dict[str, int] = {}
+        self._removed: dict[str, int] = {}
         self._complete_from = 0
         self._gap = (0, 0)
-        self.at = 0
+        self.revision = 0
 
     def __contains__(self, key: str) -> bool:
         return key in self._entries
@@ -74,46 +74,46 @@
     def revision_of(self, key: str) -> int:
         """Return the revision of a key's last known change; 0 when it was never seen."""
         entry = self._entries.get(key)
-        return entry.revision if entry else self._gone.get(key, 0)
+        return entry.revision if entry else self._removed.get(key, 0)
 
-    def take(self, key: str, value: bytes | None, revision: int) -> bool:
+    def apply(self, key: str, value: bytes | None, revision: int) -> bool:
         """Take one change; return whether it is newer than what was known."""
         if revision <= self.revision_of(key):
             return False
-        if self._has_gone(key, revision):
+        if self._is_removed(key, revision):
             return False
         if value is None:
             self._entries.pop(key, None)
-            self._gone[key] = revision
-            self._forget_oldest()
+            self._removed[key] = revision
+            self._evict_oldest_removals()
             return True
-        self._gone.pop(key, None)
-        self._entries[key] = EntryChange.of(key, value, revision)
+        self._removed.pop(key, None)
+        self._entries[key] = EntryChange.from_value(key, value, revision)
         return True
 
-    def _has_gone(self, key: str, revision: int) -> bool:
+    def _is_removed(self, key: str, revision: int) -> bool:
         """Whether a key that is not there now was there at a revision, and has been removed since.
 
         An engine that had left came back into use by the listing of a node that was behind, when it
         had left before this node's first view or its removal was forgotten.
         """
-        return key not in self._entries and revision <= max(self._complete_from, self.at)
+        return key not in self._entries and revision <= max(self._complete_from, self.revision)
 
-    def _forget_oldest(self) -> None:
-        while len(self._gone) > MAX_GONE:
-            oldest = min(self._gone, key=self._gone.__getitem__)
-            self._complete_from = max(self._complete_from, self._gone.pop(oldest))
+    def _evict_oldest_removals(self) -> None:
+        while len(self._removed) > MAX_REMOVED_KEYS:
+            oldest = min(self._removed, key=self._removed.__getitem__)
+            self._complete_from = max(self._complete_from, self._removed.pop(oldest))
 
-    def note_listing(self, revision: int) -> None:
+    def begin_listing(self, revision: int) -> None:
         """All keys as of a revision are going to be taken.
 
         Keys that came and went since the revision up to which this log was complete are not known,
         so nobody is told changes since a revision in between.
         """
-        if revision > self.at:
+        if revision > self.revision:
             _, end = self._gap
             self._complete_from = max(self._complete_from, end)
-            self._gap = (self.at, revision)
+            self._gap = (self.revision, revision)
 
     def listing(self) -> list[EntryChange]:
         """Return all keys that are there now."""
@@ -133,8 +133,8 @@
             raise WatchCompacted(f"removals between {begin} and {end} are not known")
         changes = [one for one in self._entries.values() if one.revision > revision]
         changes += [
-            EntryChange(key, None, gone_at)
-            for key, gone_at in self._gone.items()
-            if gone_at > revision
+            EntryChange(key, None, removed_at)
+            for key, removed_at in self._removed.items()
+            if removed_at > revision
         ]
         return sorted(changes, key=lambda one: one.revision)
--- a/src/wheelslip/forwarding/feed.py
+++ b/src/wheelslip/forwarding/feed.py
@@ -198,7 +198,7 @@
         return min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, wait))
 
     def _changes(self, poll: FeedPoll) -> tuple[list[EntryChange], bool]:
-        log = self._registry.log
+        log = self._registry.entry_log
         if poll.after is None:
             return log.listing(), True
         try:
@@ -212,7 +212,7 @@
         now = self._clock()
         confirmed_at = self._registry.health.confirmed_at
         return FeedBatch(
-            self._registry.log.at,
+            self._registry.entry_log.revision,
             whole,
             changes,
             None if confirmed_at is None else confirmed_at - arrived_at,
@@ -280,7 +280,7 @@
         """
         try:
             batch = await (await self._connection(address)).exchange(poll)
-            changes = [one.unpacked() for one in batch.changes]
+            changes = [one.decompressed() for one in batch.changes]
         except (FeedLost, ValueError) as exc:
             self.close()
             raise FeedLost(str(exc)) from exc
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -257,11 +257,11 @@
         :raises WheelslipError: when none returns within its target. Another node may have a
             right to them now, so its caller is told at once, and each a later turn than the last.
         """
-        rests_until = self._registry.rests_until(service)
-        if rests_until is None:
+        earliest_backoff_end = self._registry.earliest_backoff_end(service)
+        if earliest_backoff_end is None:
             return None
         now = self._clock()
-        returns_at = max(now, rests_until)
+        returns_at = max(now, earliest_backoff_end)
         if returns_at <= job.request.arrived + job.route.target_seconds:
             return returns_at
         turns = self._rest_turns.setdefault(service, Turns())
--- a/src/wheelslip/forwarding/holder.py
+++ b/src/wheelslip/forwarding/holder.py
@@ -51,5 +51,5 @@
 
     def _may_gain(self) -> bool:
         # Only relays contend, or at each loss all nodes of the fleet would call the store.
-        relays = self._registry.own_entries(RELAY_PREFIX)
+        relays = self._registry.system_entries(RELAY_PREFIX)
         return super()._may_gain() and (self._is_relay() or not relays)
--- a/src/wheelslip/forwarding/leased_key.py
+++ b/src/wheelslip/forwarding/leased_key.py
@@ -84,7 +84,9 @@
             await self._gain()
 
     def _may_gain(self) -> bool:
-        return self._registry.configuration is not None and not self._registry.own_entry(self._key)
+        return self._registry.configuration is not None and not self._registry.system_entry(
+            self._key
+        )
 
     async def _gain(self) -> None:
         sent_at = self._clock()
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -89,10 +89,10 @@
             lambda: self.settings.routing.limit_admission,
         )
         own_loads = self._placement.own_loads
-        self._registry.view.on_gone = self._forget_worker
+        self._registry.view.on_removed = self._forget_worker
         self._rollout_view = RolloutView(self._registry, clock)
         self._crash_guard = CrashGuard(section.name, store, self._registry, clock, random_source)
-        self._registry.on_own_entry = self._own_entry_changed
+        self._registry.on_system_entry = self._system_entry_changed
         self._relay = self._make_relay(store, random_source) if section.peers else None
         self._feed = FeedServer(self._registry, table, own_loads, clock)
         self._datagrams = DatagramSocket()
@@ -217,14 +217,14 @@
         """Return the bounds in force."""
         return self.settings.bounds
 
-    def known_workers(self) -> set[str]:
+    def worker_ids(self) -> set[str]:
         """Return the ids of the workers in view."""
-        return {one.info.worker_id for one in self._registry.workers.values()}
+        return {worker.info.worker_id for worker in self._registry.workers.values()}
 
-    def takes_new_work(self, worker_id: str) -> bool:
+    def accepts_new_requests(self, worker_id: str) -> bool:
         """Whether a worker in view gets new requests."""
-        worker = self._registry.view.of_id(worker_id)
-        return worker is not None and self._registry.view.takes_requests(worker)
+        worker = self._registry.view.by_id(worker_id)
+        return worker is not None and self._registry.view.accepts_requests(worker)
 
     def configuration_version(self) -> int | None:
         """Return the version of the configuration in force."""
@@ -235,24 +235,24 @@
         """Return the present value of one gauge of the metrics."""
         return self._metrics.gauges[name]()
 
-    def running_at(self, worker_id: str) -> float:
+    def running_requests_at(self, worker_id: str) -> float:
         """Return the requests of all nodes at a worker, as far as this one knows."""
-        worker = self._registry.view.of_id(worker_id)
+        worker = self._registry.view.by_id(worker_id)
         return self._placement.all_loads(worker.info.id).running if worker is not None else 0.0
 
     def hold_bytes(self, count: int) -> None:
         """Count bytes as if bodies of requests held them."""
         self._callers.hold_bytes(count)
 
-    def hear_datagram(self, data: bytes) -> None:
+    def receive_datagram(self, data: bytes) -> None:
         """Take a peer's datagram as if it came from the socket."""
         self._datagrams.datagram_received(data, ("127.0.0.1", 0))
 
-    def hear_nothing(self) -> None:
+    def stop_receiving(self) -> None:
         """Lose all datagrams from now on, as behind a cut."""
         self._datagrams.close()
 
-    def known_relays(self) -> list[str]:
+    def relay_addresses(self) -> list[str]:
         """Return the addresses of the relays in view."""
         return self._relay.by_tenure()
 
@@ -266,9 +266,9 @@
 
     def is_ready(self) -> bool:
         """Whether this node wants new connections."""
-        oldest = READY_AGE_SHARE * self.bounds().key_revocation_ms / 1000
-        known = self._registry.configuration is not None
-        return known and self._registry.age() < oldest and not self._callers.stopping
+        max_age = READY_AGE_SHARE * self.bounds().key_revocation_ms / 1000
+        has_configuration = self._registry.configuration is not None
+        return has_configuration and self._registry.age() < max_age and not self._callers.stopping
 
     def _min_lease_seconds(self) -> float:
         return self.settings.store.min_lease_ms / 1000
@@ -328,7 +328,7 @@
         }
         return metrics
 
-    def _own_entry_changed(self, key: str) -> None:
+    def _system_entry_changed(self, key: str) -> None:
         self._rollout_view.entry_changed(key)
         self._crash_guard.entry_changed(key)
 
@@ -383,14 +383,14 @@
 
     async def stop(self) -> None:
         """Finish what runs, within the grace time, and end."""
-        began = self._clock()
-        give_up_at = began + self.bounds().stop_grace_seconds - STOP_MARGIN_SECONDS
+        began_at = self._clock()
+        stop_deadline = began_at + self.bounds().stop_grace_seconds - STOP_MARGIN_SECONDS
         log_event(LogEvent.NODE_STOP_REQUESTED, running=self._callers.busy)
         self._callers.stopping = True
-        giving_up = asyncio.get_running_loop().create_task(self._give_up_keys())
-        closes_at = min(began + LAME_DUCK_SECONDS, give_up_at)
+        releasing = asyncio.get_running_loop().create_task(self._release_leases())
+        closes_at = min(began_at + LAME_DUCK_SECONDS, stop_deadline)
         while self._clock() < closes_at or self._callers.busy:
-            if self._clock() >= give_up_at:
+            if self._clock() >= stop_deadline:
                 log_event(LogEvent.NODE_STOP_CUT, cut=self._callers.busy)
                 break
             if self._clock() >= closes_at:
@@ -400,7 +400,7 @@
             await asyncio.sleep(STOP_POLL_SECONDS)
         # What is still coming in on connections that stay open would be begun and cut.
         self._callers.refuses_new = True
-        giving_up.cancel()
+        releasing.cancel()
         self._tasks.cancel()
         self._callers.close()
         self._readiness.close()
@@ -410,7 +410,7 @@
         await asyncio.sleep(STOP_POLL_SECONDS)
         log_event(LogEvent.NODE_STOPPED)
 
-    async def _give_up_keys(self) -> None:
+    async def _release_leases(self) -> None:
         await self._lease.give_up()
         if self._relay is not None:
             await self._relay.give_up()
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -18,18 +18,18 @@
 from wheelslip.keyvalue.model import KeyValueError, RangeResult, WatchBatch, WatchCompacted
 from wheelslip.routing.load_table import LoadAtWorker, LoadTable
 
-WATCH_SECONDS = 0.6
+WATCH_TIMEOUT_SECONDS = 0.6
 """A watch returns at least this often, so that the age of the view is known: a view counts as
 confirmed when the watch was sent, so it is up to twice as old, and two polls older at the
 nodes that do not read the store themselves."""
 
-GATHER_SECONDS = 0.12
+COALESCE_SECONDS = 0.12
 """Pause after changes, so that those which follow closely come with one call."""
 
-LOOK_SECONDS = 0.02
+PROBE_WAIT_SECONDS = 0.02
 """Wait of a watch that only asks whether the store answers, and what has changed."""
 
-FAILURES_OF_TROUBLE = 2
+OUTAGE_FAILURES = 2
 """So many failed calls in a row are logged as trouble, and are an outage to a node that no other
 can tell better. A single one is not: connections are reset and watches cut while the store is
 well."""
@@ -39,16 +39,16 @@
 pause fails no call that was answered in time (the grace of a watch). Without this, an engine that
 left while its node stood still for 2.5 s was held in doubt in 4 of 4 runs, with it in none."""
 
-PEERS_ASKED = (1, 3)
+PEER_POLLS = (1, 3)
 """Range of how many peers are asked after a failed call, one after the other: they look at the
 store as soon as they hear of the failure, within 0.2 s."""
 
-ASKING_SECONDS = 1.0
+PEER_POLLS_TIMEOUT_SECONDS = 1.0
 """All asking of peers after one failed call, however many are silent: this node may be the only one in
 trouble, and its next call is answered. With 1.0 s for each of three it knew of no worker that left for
 3.9 s."""
 
-RETRY_SECONDS = (0.05, 0.15)
+PEER_POLL_PAUSE_SECONDS = (0.05, 0.15)
 """Range of the pause after each; random, so that many nodes do not call together."""
 
 RELAY_RETRY_SECONDS = (0.8, 1.6)
@@ -58,7 +58,7 @@
 """A relay whose view is older is out of touch: the store is asked itself, now and then. Without
 trouble a view is younger: 1.2 s at the reader, and two waits of a poll more at each of two relays."""
 
-LOOK_RESERVE_SECONDS = 0.35
+PROBE_MARGIN_SECONDS = 0.35
 """The store is asked so long before a worker that left may get nothing more, counted from the age of the
 view: for the look itself and what follows it. Longer ones would have views without trouble looked after
 where that time is 2 s."""
@@ -66,10 +66,10 @@
 RELAY_STALE_SECONDS = 1.8
 """The same for a relay, on which the nodes of its zone depend."""
 
-_RELAY = ""
+_RELAY_SOURCE = ""
 """Source of loads that a relay told."""
 
-OWN_LOOK_SECONDS = (0.7, 1.4)
+PROBE_INTERVAL_SECONDS = (0.7, 1.4)
 """Range of the pause between such looks."""
 
 
@@ -106,13 +106,13 @@
         self._relay = relay
         self._peer_addresses = peer_addresses
         self._feed = FeedClient()
-        self._asked = FeedClient()
-        self._after: int | None = None
+        self._peer_feed = FeedClient()
+        self._revision: int | None = None
         self._failures = 0
         self._followed: str | None = None
-        self._source_fails = False
-        self._relay_silent_until = float("-inf")
-        self._own_look_at = float("-inf")
+        self._source_failing = False
+        self._relay_backoff_until = float("-inf")
+        self._next_probe_at = float("-inf")
 
     async def run(self) -> None:
         """Follow the store for ever."""
@@ -126,125 +126,125 @@
 
     # The store itself
 
-    async def _read_store(self, wait_seconds: float = WATCH_SECONDS) -> None:
-        self._note_source(None)
+    async def _read_store(self, wait_seconds: float = WATCH_TIMEOUT_SECONDS) -> None:
+        self._log_source(None)
         with StallMeter() as stall:
             await self._call_store(wait_seconds, stall)
 
     async def _call_store(self, wait_seconds: float, stall: StallMeter) -> None:
         sent_at = self._clock()
         try:
-            if self._after is None:
+            if self._revision is None:
                 listing = await self._store.range("")
-                self._note_available(sent_at)
-                self._take_listing(listing)
+                self._record_answer(sent_at)
+                self._apply_listing(listing)
             else:
-                batch = await self._store.watch("", self._after, wait_seconds)
-                self._note_available(sent_at)
-                await self._take_changes(batch)
+                batch = await self._store.watch("", self._revision, wait_seconds)
+                self._record_answer(sent_at)
+                await self._apply_changes(batch)
             self._registry.confirm(sent_at)
         except WatchCompacted:
             # What is in force stays in force until a new listing has been read. The store has
             # answered: lost history is no outage, and engines leave beside it as at other times.
-            self._note_available(sent_at)
-            self._after = None
-        except KeyValueError as error:
+            self._record_answer(sent_at)
+            self._revision = None
+        except KeyValueError as exc:
             if stall.seconds() < STALL_SECONDS:
-                self._note_failure(error, sent_at)
+                self._record_failure(exc, sent_at)
             else:
                 log_event(LogEvent.PROCESS_STALLED, seconds=round(stall.seconds(), 3))
-            await self._ask_peers()
+            await self._poll_peers()
 
-    def _take_listing(self, listing: RangeResult) -> None:
-        entries = {one.key: (one.value, one.mod_revision) for one in listing.entries}
+    def _apply_listing(self, listing: RangeResult) -> None:
+        entries = {entry.key: (entry.value, entry.mod_revision) for entry in listing.entries}
         self._registry.replace_all(entries, listing.revision)
         self._advance(listing.revision)
 
-    async def _take_changes(self, batch: WatchBatch) -> None:
+    async def _apply_changes(self, batch: WatchBatch) -> None:
         for key, value, revision in batch.changes:
             self._registry.apply(key, value, revision)
         self._advance(batch.revision)
         if batch.changes:
-            await asyncio.sleep(GATHER_SECONDS)
+            await asyncio.sleep(COALESCE_SECONDS)
 
     def _advance(self, revision: int) -> None:
-        self._after = max(self._after or 0, revision)
-        self._registry.log.at = max(self._registry.log.at, self._after)
+        self._revision = max(self._revision or 0, revision)
+        self._registry.entry_log.revision = max(self._registry.entry_log.revision, self._revision)
 
-    def _note_available(self, sent_at: float) -> None:
+    def _record_answer(self, sent_at: float) -> None:
         """The store has answered; to be called before the answer's changes are taken."""
-        if self._failures >= FAILURES_OF_TROUBLE:
+        if self._failures >= OUTAGE_FAILURES:
             log_event(LogEvent.KEY_VALUE_REGAINED)
         self._failures = 0
         self._registry.health.note_answered(sent_at, self._clock())
 
-    def _note_failure(self, error: KeyValueError, sent_at: float) -> None:
+    def _record_failure(self, error: KeyValueError, sent_at: float) -> None:
         self._failures += 1
-        self._registry.note_failed_call(sent_at)
-        if self._relay is None and self._failures >= FAILURES_OF_TROUBLE:
-            self._registry.note_outage(sent_at)
-        if self._failures == FAILURES_OF_TROUBLE:
+        self._registry.record_failed_call(sent_at)
+        if self._relay is None and self._failures >= OUTAGE_FAILURES:
+            self._registry.record_outage(sent_at)
+        if self._failures == OUTAGE_FAILURES:
             seconds = round(self._clock() - sent_at, 3)
             log_event(LogEvent.KEY_VALUE_UNAVAILABLE, reason=str(error), seconds=seconds)
 
     # Other nodes
 
     def _relay_to_follow(self) -> str | None:
-        if self._relay is None or self._after is None:
+        if self._relay is None or self._revision is None:
             return None
-        if self._clock() < self._relay_silent_until:
+        if self._clock() < self._relay_backoff_until:
             return None
         return self._relay.node_to_follow()
 
     async def _follow(self, address: str) -> None:
-        self._note_source(address)
+        self._log_source(address)
         poll = asyncio.create_task(self._poll(address))
         try:
             # A relay that falls silent says nothing of its view: a worker that had left got work for
             # 2.2 s where the age was looked at only between two polls.
-            while not await self._has_ended(poll):
-                await self._look()
+            while not await self._poll_finished(poll):
+                await self._probe_store()
             poll.result()
         except FeedLost as exc:
-            self._relay_silent_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
+            self._relay_backoff_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
             log_event(LogEvent.RELAY_LOST, relay=address, reason=str(exc))
             return
         finally:
             poll.cancel()
         if self._is_relay() and self._registry.age() > RELAY_STALE_SECONDS:
             # Its whole zone depends on it: it reads the store until the other is current.
-            self._relay_silent_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
-            await self._read_store(LOOK_SECONDS)
-        elif self._seconds_to_look() <= 0:
-            await self._look()
+            self._relay_backoff_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
+            await self._read_store(PROBE_WAIT_SECONDS)
+        elif self._seconds_until_probe() <= 0:
+            await self._probe_store()
 
-    async def _has_ended(self, poll: asyncio.Task) -> bool:
+    async def _poll_finished(self, poll: asyncio.Task) -> bool:
         """Wait for a poll to end; return ``False`` where a look at the store is due before."""
         # One that is answered at once tells as much as a look.
-        seconds = max(LOOK_SECONDS, self._seconds_to_look())
+        seconds = max(PROBE_WAIT_SECONDS, self._seconds_until_probe())
         done, _ = await asyncio.wait({poll}, timeout=seconds)
         return bool(done)
 
-    async def _look(self) -> None:
+    async def _probe_store(self) -> None:
         """Ask the store whether it answers, and what has changed."""
-        self._own_look_at = self._clock() + self._random.uniform(*OWN_LOOK_SECONDS)
-        await self._read_store(LOOK_SECONDS)
+        self._next_probe_at = self._clock() + self._random.uniform(*PROBE_INTERVAL_SECONDS)
+        await self._read_store(PROBE_WAIT_SECONDS)
 
-    def _seconds_to_look(self) -> float:
+    def _seconds_until_probe(self) -> float:
         """Return how long it is until the store is to be asked whether it answers.
 
         A node whose relay fails looks itself: it learns what the relay cannot tell, and the relay
         learns from it that the trouble is its own.
         """
-        until_stale = 0.0 if self._source_fails else self._stale_seconds() - self._registry.age()
-        return max(until_stale, self._own_look_at - self._clock())
+        until_stale = 0.0 if self._source_failing else self._stale_age() - self._registry.age()
+        return max(until_stale, self._next_probe_at - self._clock())
 
-    def _stale_seconds(self) -> float:
+    def _stale_age(self) -> float:
         """Return the age of a view from which the store is asked.
 
         A worker that left just after the view was current may get nothing once its drain time is over.
         """
-        return min(STALE_SECONDS, self._registry.drain_seconds() - LOOK_RESERVE_SECONDS)
+        return min(STALE_SECONDS, self._registry.drain_seconds() - PROBE_MARGIN_SECONDS)
 
     def _is_relay(self) -> bool:
         return self._relay is not None and self._relay.token() is not None
@@ -260,7 +260,7 @@
             await self._poll_view(self._feed, address)
             return
         batch = await self._poll_view(self._feed, address, self._address, self._own_loads())
-        self._table.take(_RELAY, batch.loads, self._clock())
+        self._table.take(_RELAY_SOURCE, batch.loads, self._clock())
 
     async def _poll_view(
         self,
@@ -276,42 +276,42 @@
         """
         sent_at = self._clock()
         saved = self._table.saved
-        poll = FeedPoll(self._after, own_address, list(loads), saved.news(sent_at))
+        poll = FeedPoll(self._revision, own_address, list(loads), saved.news(sent_at))
         batch = await client.poll(address, poll)
-        self._take(batch, sent_at)
+        self._apply_batch(batch, sent_at)
         saved.learn(batch.saved, self._clock())
         return batch
 
-    def _take(self, batch: FeedBatch, sent_at: float) -> None:
-        self._source_fails = batch.failing_age is not None
+    def _apply_batch(self, batch: FeedBatch, sent_at: float) -> None:
+        self._source_failing = batch.failing_age is not None
         if batch.whole:
-            entries = {one.key: (one.value, one.revision) for one in batch.changes}
+            entries = {change.key: (change.value, change.revision) for change in batch.changes}
             self._registry.replace_all(entries, batch.at)
         else:
-            for one in batch.changes:
-                self._registry.apply(one.key, one.value, one.revision)
+            for change in batch.changes:
+                self._registry.apply(change.key, change.value, change.revision)
         self._advance(batch.at)
         self._registry.confirm(sent_at + batch.confirmed)
 
-    async def _ask_peers(self) -> None:
+    async def _poll_peers(self) -> None:
         """Learn from any other nodes while the store does not answer.
 
         Loads are not exchanged with them: they come from and go to the followed node, and would
         be passed round and added up again.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(ASKING_SECONDS):
-                for _ in range(self._random.randint(*PEERS_ASKED)):
-                    await self._ask_any_peer()
-                    await asyncio.sleep(self._random.uniform(*RETRY_SECONDS))
+            async with asyncio.timeout(PEER_POLLS_TIMEOUT_SECONDS):
+                for _ in range(self._random.randint(*PEER_POLLS)):
+                    await self._poll_random_peer()
+                    await asyncio.sleep(self._random.uniform(*PEER_POLL_PAUSE_SECONDS))
 
-    async def _ask_any_peer(self) -> None:
+    async def _poll_random_peer(self) -> None:
         addresses = self._peer_addresses() if self._relay is not None else []
         if addresses:
             with contextlib.suppress(FeedLost):
-                await self._poll_view(self._asked, self._random.choice(addresses))
+                await self._poll_view(self._peer_feed, self._random.choice(addresses))
 
-    def _note_source(self, address: str | None) -> None:
+    def _log_source(self, address: str | None) -> None:
         if address != self._followed:
             self._followed = address
-            log_event(LogEvent.RELAY_FOLLOWED, relay=address, revision=self._after)
+            log_event(LogEvent.RELAY_FOLLOWED, relay=address, revision=self._revision)
--- a/src/wheelslip/forwarding/relay.py
+++ b/src/wheelslip/forwarding/relay.py
@@ -71,12 +71,12 @@
         """Return the addresses of the other zones' relays, while this node is a relay."""
         if self.token() is None:
             return []
-        relays = self._registry.own_entries(RELAY_PREFIX)
+        relays = self._registry.system_entries(RELAY_PREFIX)
         return sorted(value.decode("latin-1") for key, value in relays.items() if key != self._key)
 
     def addresses(self) -> list[str]:
         """Return the addresses of all relays but this node."""
-        relays = self._registry.own_entries(RELAY_PREFIX).values()
+        relays = self._registry.system_entries(RELAY_PREFIX).values()
         return [one.decode("latin-1") for one in relays if one != self._value]
 
     def by_tenure(self) -> list[str]:
@@ -84,8 +84,8 @@
 
         All nodes see the same order: that of the revisions at which the keys were made.
         """
-        keys = self._registry.own_entries(RELAY_PREFIX)
-        entries = sorted(self._registry.own_entry(key)[::-1] for key in keys)
+        keys = self._registry.system_entries(RELAY_PREFIX)
+        entries = sorted(self._registry.system_entry(key)[::-1] for key in keys)
         return [value.decode("latin-1") for _, value in entries]
 
     def dispatchers_of(self, service: str) -> list[str]:
@@ -98,7 +98,12 @@
         """
         relays = self.by_tenure()
         cfg = self._registry.configuration
-        if not relays or cfg is None or cfg.tenant_limits or self._registry.has_limited(service):
+        if (
+            not relays
+            or cfg is None
+            or cfg.tenant_limits
+            or self._registry.has_limited_worker(service)
+        ):
             return relays
         services = sorted(cfg.services.values(), key=lambda one: (one.engine is None, one.name))
         names = [one.name for one in services]
@@ -112,7 +117,7 @@
         that one node reads the store for all. Each follows only a relay whose key comes before
         its own, whatever it knows of the others, so none follow each other in a circle.
         """
-        relays = self._registry.own_entries(RELAY_PREFIX)
+        relays = self._registry.system_entries(RELAY_PREFIX)
         followed = self._key if self.token() is None else min([self._key, *relays])
         value = relays.get(followed)
         return value.decode("latin-1") if value not in (None, self._value) else None
--- a/src/wheelslip/forwarding/rollout.py
+++ b/src/wheelslip/forwarding/rollout.py
@@ -212,7 +212,7 @@
         return [
             one
             for one in self._registry.workers.values()
-            if model in one.weights and self._registry.takes_orders(one)
+            if model in one.weights and self._registry.accepts_orders(one)
         ]
 
     def _state(self, worker: Worker, model: str) -> WorkerWeights:
@@ -233,7 +233,7 @@
         if token is None or self._is_published(record):
             return
         put = Put(ROLLOUT_KEY, msgspec.json.encode(record))
-        known = self._registry.own_entry(ROLLOUT_KEY)
+        known = self._registry.system_entry(ROLLOUT_KEY)
         # The record's own revision too: a write that is done late must not undo a newer one.
         expected = {HOLDER_KEY: token, ROLLOUT_KEY: known[1] if known else 0}
         result = await self._store.transact(Transaction(expected, (put,)))
@@ -338,4 +338,4 @@
         if load.ordered_at:
             took = self._clock() - load.began
             self._load_seconds += LOAD_SMOOTHING * (took - self._load_seconds)
-        self._registry.note_weights(load.worker.info.id, load.model, version)
+        self._registry.record_weights(load.worker.info.id, load.model, version)
--- a/src/wheelslip/forwarding/rollout_record.py
+++ b/src/wheelslip/forwarding/rollout_record.py
@@ -68,16 +68,16 @@
         return self._ended.get(record.fencing_token, self._record_at)
 
     def _take_holder(self) -> None:
-        entry = self._registry.own_entry(HOLDER_KEY)
+        entry = self._registry.system_entry(HOLDER_KEY)
         holder = entry[1] if entry else 0
         if self._holder and holder != self._holder:
             self._ended[self._holder] = self._clock()
         self._holder = holder
 
     def _take_record(self) -> None:
-        record = self._registry.own_record(ROLLOUT_KEY, RolloutRecord)
+        record = self._registry.system_record(ROLLOUT_KEY, RolloutRecord)
         if record is None:
             return
         self.record = record
         self._record_at = self._clock()
-        self._registry.take_rollout(frozenset(record.loading), record.weights)
+        self._registry.apply_rollout(frozenset(record.loading), record.weights)
--- a/src/wheelslip/forwarding/worker_view.py
+++ b/src/wheelslip/forwarding/worker_view.py
@@ -13,21 +13,21 @@
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.routing.worker_notices import WorkerNotices
 
-HEARTBEATS_OF_A_LIVE_START = 3
+DEFERRAL_HEARTBEATS = 3
 """A start writes its entry each heartbeat. An entry of an older start, or of one that had left, that
 has stood for so many is no late one: its worker lives, and its clock was set back between two starts,
 it was cut off from the store for a while, or it thought better of leaving."""
 
-MAX_LEFT = 4096
+MAX_DEPARTED_WORKERS = 4096
 """Workers of which it is remembered which start left last, the newest; some times the workers of the
 largest deployment planned for (850)."""
 
 
-class _DoubtedEntry(NamedTuple):
+class _DeferredEntry(NamedTuple):
     """An entry that may have been written long ago, and when it is taken after all."""
 
     info: WorkerInfo
-    taken_at: float
+    apply_at: float
 
 
 class WorkerView:
@@ -36,7 +36,7 @@
     :param clock: steady clock in seconds.
     :param notices: what workers said of themselves; it outlives their entries.
     :ivar workers: by incarnation.
-    :ivar on_gone: called with each incarnation that is no longer there.
+    :ivar on_removed: called with each incarnation that is no longer there.
     """
 
     def __init__(
@@ -49,105 +49,111 @@
         self._clock = clock
         self._notices = notices
         self._current: dict[str, Incarnation] = {}
-        self._doubted: dict[str, _DoubtedEntry] = {}
-        self._left: dict[str, int] = {}
+        self._deferred: dict[str, _DeferredEntry] = {}
+        self._departed: dict[str, int] = {}
         self.workers: dict[Incarnation, Worker] = {}
-        self.on_gone: Callable[[Incarnation], None] = lambda incarnation: None
+        self.on_removed: Callable[[Incarnation], None] = lambda incarnation: None
 
-    def of_id(self, worker_id: str) -> Worker | None:
-        """Return the start of a worker that is known, ``None`` when none is."""
+    def by_id(self, worker_id: str) -> Worker | None:
+        """Return the start of a worker that is current, ``None`` when none is."""
         incarnation = self._current.get(worker_id)
         return self.workers.get(incarnation) if incarnation is not None else None
 
     # Changes
 
-    def take(self, info: WorkerInfo) -> None:
+    def apply(self, info: WorkerInfo) -> None:
         """Take an entry."""
-        doubted = self._doubted.pop(info.worker_id, None)
-        known = self.of_id(info.worker_id)
-        if self._may_be_late(info, known):
-            self._doubt(info, doubted)
-        elif known is None:
+        deferred = self._deferred.pop(info.worker_id, None)
+        current = self.by_id(info.worker_id)
+        if self._may_be_stale(info, current):
+            self._defer(info, deferred)
+        elif current is None:
             self._add(info)
             _log(LogEvent.ENGINE_UP, info)
-        elif info.id == known.info.id:
-            self._renew(known, info)
+        elif info.id == current.info.id:
+            self._update(current, info)
         else:
-            self._replace(known, info)
+            self._replace(current, info)
         if info.state is WorkerState.DRAINING:
-            self._note_left(info)
+            self._record_departure(info)
 
-    def _may_be_late(self, info: WorkerInfo, known: Worker | None) -> bool:
+    def _may_be_stale(self, info: WorkerInfo, current: Worker | None) -> bool:
         """Whether an entry may have been written before others that came earlier.
 
         One that allows requests at a start that has left was used for 1.2 s, until the later start's
         own entry came (3 late requests at one of 6 nodes, randomised runs of processes).
         """
-        if known is not None and info.born < known.info.born:
+        if current is not None and info.born < current.info.born:
             return True
-        if known is not None and info.id == known.info.id and known.info.state is WorkerState.READY:
+        if (
+            current is not None
+            and info.id == current.info.id
+            and current.info.state is WorkerState.READY
+        ):
             return False
-        left = self._left.get(info.worker_id)
-        return info.state is WorkerState.READY and left is not None and info.born <= left
+        departed = self._departed.get(info.worker_id)
+        return info.state is WorkerState.READY and departed is not None and info.born <= departed
 
-    def _doubt(self, info: WorkerInfo, doubted: _DoubtedEntry | None) -> None:
+    def _defer(self, info: WorkerInfo, deferred: _DeferredEntry | None) -> None:
         """Keep an entry until it has stood for so long that its start lives."""
-        wait = HEARTBEATS_OF_A_LIVE_START * self._bounds().heartbeat_ms / 1000
-        taken_at = self._clock() + wait
-        if doubted is not None and doubted.info.id == info.id:
-            taken_at = doubted.taken_at
-        self._doubted[info.worker_id] = _DoubtedEntry(info, taken_at)
+        wait = DEFERRAL_HEARTBEATS * self._bounds().heartbeat_ms / 1000
+        apply_at = self._clock() + wait
+        if deferred is not None and deferred.info.id == info.id:
+            apply_at = deferred.apply_at
+        self._deferred[info.worker_id] = _DeferredEntry(info, apply_at)
 
-    def _note_left(self, info: WorkerInfo) -> None:
+    def _record_departure(self, info: WorkerInfo) -> None:
         """Remember that a start has left, and with it all older ones of its worker."""
-        self._left[info.worker_id] = max(info.born, self._left.pop(info.worker_id, info.born))
-        if len(self._left) > MAX_LEFT:
-            del self._left[next(iter(self._left))]
+        self._departed[info.worker_id] = max(
+            info.born, self._departed.pop(info.worker_id, info.born)
+        )
+        if len(self._departed) > MAX_DEPARTED_WORKERS:
+            del self._departed[next(iter(self._departed))]
 
     def _add(self, info: WorkerInfo) -> None:
         self.workers[info.id] = Worker(info, dict(info.weights))
         self._current[info.worker_id] = info.id
 
-    def _replace(self, known: Worker, info: WorkerInfo) -> None:
+    def _replace(self, current: Worker, info: WorkerInfo) -> None:
         """Forget one start for another; connections kept to it may lead to a process that left."""
-        self._note_left(known.info)
-        self._forget(known.info)
+        self._record_departure(current.info)
+        self._forget(current.info)
         self._add(info)
         _log(LogEvent.ENGINE_REPLACED, info)
 
-    def _renew(self, known: Worker, info: WorkerInfo) -> None:
-        if info.state is WorkerState.DRAINING and known.info.state is WorkerState.READY:
+    def _update(self, current: Worker, info: WorkerInfo) -> None:
+        if info.state is WorkerState.DRAINING and current.info.state is WorkerState.READY:
             _log(LogEvent.ENGINE_LEAVING, info)
-        known.info = info
-        known.doubtful_until = None
-        known.unusable = False
+        current.info = info
+        current.doubtful_until = None
+        current.unusable = False
         for model, version in info.weights.items():
-            known.weights[model] = max(version, known.weights.get(model, 0))
+            current.weights[model] = max(version, current.weights.get(model, 0))
 
-    def take_unusable(self, worker_id: str) -> None:
-        """Take an entry that names no worker: the one known is out of use until another comes."""
-        self._doubted.pop(worker_id, None)
-        known = self.of_id(worker_id)
-        if known is not None:
-            known.unusable = True
-            known.doubtful_until = None
+    def mark_unusable(self, worker_id: str) -> None:
+        """Take an entry that names no worker: the one current is out of use until another comes."""
+        self._deferred.pop(worker_id, None)
+        current = self.by_id(worker_id)
+        if current is not None:
+            current.unusable = True
+            current.doubtful_until = None
 
     def remove(self, worker_id: str, doubtful_until: float | None) -> Worker | None:
         """Take the removal of an entry; return its worker if that is in doubt and not gone.
 
         :param doubtful_until: until when a worker in use is kept; ``None`` for not at all.
         """
-        self._doubted.pop(worker_id, None)
-        known = self.of_id(worker_id)
-        if known is None:
+        self._deferred.pop(worker_id, None)
+        current = self.by_id(worker_id)
+        if current is None:
             return None
-        ready = known.info.state is WorkerState.READY and not known.unusable
+        ready = current.info.state is WorkerState.READY and not current.unusable
         if doubtful_until is None or not ready:
-            self._note_left(known.info)
-            self._drop(known)
+            self._record_departure(current.info)
+            self._drop(current)
             return None
-        known.doubtful_until = doubtful_until
-        return known
+        current.doubtful_until = doubtful_until
+        return current
 
     def expire(self) -> bool:
         """Do what has become due; return whether anything changed.
@@ -156,27 +162,27 @@
         nobody has replaced are taken.
         """
         now = self._clock()
-        lapsed = [
+        expired = [
             one
             for one in self.workers.values()
             if one.doubtful_until is not None and one.doubtful_until <= now
         ]
-        for worker in lapsed:
+        for worker in expired:
             self._drop(worker)
-        due = [one.info for one in self._doubted.values() if one.taken_at <= now]
+        due = [one.info for one in self._deferred.values() if one.apply_at <= now]
         for info in due:
-            del self._doubted[info.worker_id]
-            self._left.pop(info.worker_id, None)
-            self._take_stood(info)
-        return bool(lapsed or due)
+            del self._deferred[info.worker_id]
+            self._departed.pop(info.worker_id, None)
+            self._apply_deferred(info)
+        return bool(expired or due)
 
-    def _take_stood(self, info: WorkerInfo) -> None:
+    def _apply_deferred(self, info: WorkerInfo) -> None:
         """Take an entry that has stood for as long as only a live start's does."""
-        known = self.of_id(info.worker_id)
-        if known is None or known.info.id == info.id:
-            self.take(info)
+        current = self.by_id(info.worker_id)
+        if current is None or current.info.id == info.id:
+            self.apply(info)
         else:
-            self._replace(known, info)
+            self._replace(current, info)
 
     def _drop(self, worker: Worker) -> None:
         self._forget(worker.info)
@@ -186,18 +192,18 @@
         """End everything that is held of one start."""
         del self.workers[info.id]
         del self._current[info.worker_id]
-        self.on_gone(info.id)
+        self.on_removed(info.id)
 
     # What was learned beside the entries
 
     def mark_replaced(self, incarnation: Incarnation) -> bool:
-        """Another process answered at a worker's address; return whether it was known."""
+        """Another process answered at a worker's address; return whether it was current."""
         worker = self.workers.get(incarnation)
         if worker is not None:
             worker.replaced = True
         return worker is not None
 
-    def note_weights(self, incarnation: Incarnation, model: str, version: int) -> bool:
+    def record_weights(self, incarnation: Incarnation, model: str, version: int) -> bool:
         """A worker said itself which version it has; return whether that is news."""
         worker = self.workers.get(incarnation)
         if worker is None or worker.weights.get(model) == version:
@@ -205,7 +211,7 @@
         worker.weights[model] = version
         return True
 
-    def learn_weights(self, versions: dict[Incarnation, dict[str, int]]) -> None:
+    def merge_weights(self, versions: dict[Incarnation, dict[str, int]]) -> None:
         """Take versions that the holder of the rollout has seen at workers."""
         for incarnation, models in versions.items():
             worker = self.workers.get(incarnation)
@@ -219,16 +225,16 @@
         return [
             worker
             for worker in self.workers.values()
-            if worker.info.service == service and self.takes_requests(worker)
+            if worker.info.service == service and self.accepts_requests(worker)
         ]
 
-    def takes_requests(self, worker: Worker) -> bool:
+    def accepts_requests(self, worker: Worker) -> bool:
         """Whether a worker takes new requests."""
         until = worker.doubtful_until
         return self._is_serving(worker) and (until is None or self._clock() < until)
 
-    def takes_orders(self, worker: Worker) -> bool:
-        """Whether a worker is worth an order: it serves and is not known to be gone."""
+    def accepts_orders(self, worker: Worker) -> bool:
+        """Whether a worker is worth an order: it serves and is not current to be gone."""
         return self._is_serving(worker) and worker.doubtful_until is None
 
     def _is_serving(self, worker: Worker) -> bool:
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -80,10 +80,10 @@
     def workers_of(self, service: str) -> list[Worker]:
         """Return the workers of a service that take new requests."""
 
-    def loading_now(self) -> frozenset[Incarnation]:
+    def loading_workers(self) -> frozenset[Incarnation]:
         """Return the workers that load weights."""
 
-    def begins_until(self, model: str, version: int) -> float:
+    def start_deadline(self, model: str, version: int) -> float:
         """Return until when a request may begin on a version; infinite for the newest."""
 
 
@@ -182,7 +182,7 @@
     def _eligible(self, query: PlacementQuery, candidates: list[Worker]) -> list[Worker]:
         """Return the workers that may begin a request of a model now."""
         until = {
-            version: self._registry.begins_until(query.model, version or 0)
+            version: self._registry.start_deadline(query.model, version or 0)
             for version in {one.weights.get(query.model) for one in candidates}
         }
         candidates = [
@@ -190,7 +190,7 @@
             for one in candidates
             if self._begins_before(until[one.weights.get(query.model)], one)
         ]
-        loading = self._registry.loading_now()
+        loading = self._registry.loading_workers()
         candidates = [one for one in candidates if one.info.id not in loading] or candidates
         return self._without_suspects(candidates)
 
@@ -262,7 +262,7 @@
     def _may_begin(self, worker: Worker, model: str) -> bool:
         """Whether a request sent now begins before its weights are too old."""
         return self._begins_before(
-            self._registry.begins_until(model, worker.weights.get(model, 0)), worker
+            self._registry.start_deadline(model, worker.weights.get(model, 0)), worker
         )
 
     def _begins_before(self, until: float, worker: Worker) -> bool:
@@ -274,7 +274,7 @@
 
     def _is_replaced(self, model: str, version: int | None) -> bool:
         """Whether newer weights than these have been named."""
-        return self._registry.begins_until(model, version or 0) != math.inf
+        return self._registry.start_deadline(model, version or 0) != math.inf
 
     def _home(self, query: PlacementQuery, candidates: list[Worker]) -> Worker | None:
         shared = query.shared_part
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -290,7 +290,7 @@
         for zone in zones:
             await self.ready(zone)
             node = self.nodes[zone]
-            await until(lambda node=node: len(node.known_relays()) == len(zones), "all relays")
+            await until(lambda node=node: len(node.relay_addresses()) == len(zones), "all relays")
 
     async def add_nodes(self, zones: tuple[str, ...]) -> None:
         """Start a node in each zone, named like it, and wait until all are ready."""
@@ -315,7 +315,7 @@
         """Wait until a node is ready and knows all workers."""
         expected = set(self.workers)
         node = self.nodes[name]
-        await until(lambda: node.is_ready() and expected <= node.known_workers(), "node ready")
+        await until(lambda: node.is_ready() and expected <= node.worker_ids(), "node ready")
 
     async def caller(self, name: str = "n1") -> Caller:
         """Connect a caller to a node."""
--- a/tests/probe/forwarding/test_dispatch.py
+++ b/tests/probe/forwarding/test_dispatch.py
@@ -50,7 +50,7 @@
     name = dispatcher_of(site)
     others = [zone for zone in ZONES if zone != name]
     # Its process lives and holds its key, but nothing reaches it any more.
-    site.nodes[name].hear_nothing()
+    site.nodes[name].stop_receiving()
     given = {zone: site.nodes[zone].gauge("grants_given") for zone in others}
     number = 0
     # Each node chooses alone until it has missed three answers; then it asks the next one.
@@ -66,9 +66,9 @@
 async def test_a_node_without_any_dispatcher_chooses_alone(site):
     await fleet(site)
     for zone in ("z2", "z3"):
-        site.nodes[zone].hear_nothing()
+        site.nodes[zone].stop_receiving()
     node = site.nodes["z1"]
-    node.hear_nothing()
+    node.stop_receiving()
     before = node.gauge("requests_placed_alone") + node.gauge("dispatched_requests")
     assert (await site.ask("/stream/x", "r1", "z1", **prompt("01", "a1"))).status == 200
     assert node.gauge("requests_placed_alone") + node.gauge("dispatched_requests") == before + 1
@@ -121,7 +121,7 @@
     monkeypatch.setattr(DispatchServer, "_asked", lambda *question: held.append(question))
     monkeypatch.setattr(DispatcherHealth, "timeout_seconds", lambda self, address: 30.0)
     await fleet(site, workers=1)
-    dispatcher = site.nodes["z1"].known_relays()[0]
+    dispatcher = site.nodes["z1"].relay_addresses()[0]
     asker = next(zone for zone in ZONES if site.nodes[zone].settings.node.peers != dispatcher)
     caller = await site.caller(asker)
     caller.send("/stream/x", "r1", **prompt("01", "a1"))
--- a/tests/probe/forwarding/test_early_answer.py
+++ b/tests/probe/forwarding/test_early_answer.py
@@ -53,7 +53,7 @@
     await worker.start()
     site.model.put("servers/i-early", worker_entry("plain", worker.address, "z1"))
     node = await site.add_node()
-    await until(lambda: node.is_ready() and "i-early" in node.known_workers(), "node ready")
+    await until(lambda: node.is_ready() and "i-early" in node.worker_ids(), "node ready")
     return worker
 
 
--- a/tests/probe/forwarding/test_failures.py
+++ b/tests/probe/forwarding/test_failures.py
@@ -159,9 +159,9 @@
     await until(lambda: True, "change written")
     seen = len(pair[0].runs)
     node = site.nodes["n1"]
-    await until(lambda: not node.takes_new_work("i-1"), "draining seen")
+    await until(lambda: not node.accepts_new_requests("i-1"), "draining seen")
     site.model.remove("servers/i-1")
-    await until(lambda: "i-1" not in node.known_workers(), "vanished seen")
+    await until(lambda: "i-1" not in node.worker_ids(), "vanished seen")
     for number in range(5):
         assert (await site.ask("/plain/", f"r{number}")).status == 200
     assert len(pair[0].runs) == seen
--- a/tests/probe/forwarding/test_peers.py
+++ b/tests/probe/forwarding/test_peers.py
@@ -19,10 +19,10 @@
     caller = await site.caller("n1")
     caller.send("/stream/x", "r1", **PROMPT)
     await until(lambda: worker.runs, "request runs")
-    await until(lambda: second.running_at("i-1") == 1, "the other node was told")
+    await until(lambda: second.running_requests_at("i-1") == 1, "the other node was told")
     caller.leave()
-    await until(lambda: second.running_at("i-1") == 0, "and told of its end")
-    assert first.running_at("i-1") == 0
+    await until(lambda: second.running_requests_at("i-1") == 0, "and told of its end")
+    assert first.running_requests_at("i-1") == 0
 
 
 async def test_bytes_that_are_no_news_change_nothing(site):
@@ -31,10 +31,10 @@
     address = f"127.0.0.1:{free_port()}"
     node = await site.add_node("n1", peers=address)
     await site.ready()
-    node.hear_datagram(b"7:garbage,")
-    node.hear_datagram(b"\xff\x00")
+    node.receive_datagram(b"7:garbage,")
+    node.receive_datagram(b"\xff\x00")
     assert (await site.ask("/plain/", "r1")).status == 200
-    assert worker.runs and node.running_at("i-1") == 0
+    assert worker.runs and node.running_requests_at("i-1") == 0
 
 
 async def test_a_stop_ends_all_tasks_without_a_fault(site, caplog):
--- a/tests/probe/forwarding/test_reader_cut_then_silent.py
+++ b/tests/probe/forwarding/test_reader_cut_then_silent.py
@@ -66,7 +66,7 @@
         site.model.remove("servers/i-1")
         await asyncio.sleep(SILENT_AFTER_SECONDS)
         links[1].fault = Fault.BLACKHOLE
-        await until(lambda: not site.nodes["z2"].known_workers(), "z2 gives it up")
+        await until(lambda: not site.nodes["z2"].worker_ids(), "z2 gives it up")
         assert time.monotonic() - left_at < DRAIN_SECONDS
     finally:
         for link in links:
--- a/tests/probe/forwarding/test_relay.py
+++ b/tests/probe/forwarding/test_relay.py
@@ -86,6 +86,6 @@
     seed = site.nodes[relay].settings.node.peers
     late = await site.add_node("late", peers=f"127.0.0.1:{free_port()}", seeds=[seed])
     await until(lambda: late.configuration_version() == 1, "configuration from a peer")
-    assert "i-1" in late.known_workers()
+    assert "i-1" in late.worker_ids()
     # Never more current than what the peer knew.
     assert late.view_age() >= site.nodes[relay].view_age() - 0.1
--- a/tests/probe/forwarding/test_said_in_answers.py
+++ b/tests/probe/forwarding/test_said_in_answers.py
@@ -188,7 +188,7 @@
     leaving = site.workers["i-0"]
     leaving.says_leaving = True
     node = site.nodes["z1"]
-    await until(lambda: not node.takes_new_work("i-0"), "its report was heard")
+    await until(lambda: not node.accepts_new_requests("i-0"), "its report was heard")
     assert not leaving.arrivals
 
 
@@ -201,7 +201,7 @@
     worker.says_leaving = False
     worker.born += 1000
     site.enter(worker, "plain")
-    await until(lambda: site.nodes["z1"].takes_new_work("i-0"), "the new start is in use")
+    await until(lambda: site.nodes["z1"].accepts_new_requests("i-0"), "the new start is in use")
     before = len(worker.arrivals)
     await traffic.run(1.0)
     assert len(worker.arrivals) > before
--- a/tests/probe/forwarding/test_silent_store.py
+++ b/tests/probe/forwarding/test_silent_store.py
@@ -14,7 +14,7 @@
 from standins.platform_worker import PlatformWorker
 
 DRAIN_SECONDS = 2.0
-LOOK_SECONDS = 0.05
+PROBE_WAIT_SECONDS = 0.05
 """Such a look at the store is over after this."""
 
 NODES = ("n1", "n2", "n3")
@@ -47,12 +47,12 @@
         site.store.calls.clear()
         # Calls of n1 do not get here. The worker leaves just after both others have looked.
         await until(lambda: site.store.calls.count(("GET", "/kv-watch")) >= 2, "both have looked")
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(PROBE_WAIT_SECONDS)
         left_at = time.monotonic()
         site.model.remove("servers/i-1")
         for name in NODES[1:]:
             node = site.nodes[name]
-            await until(lambda node=node: not node.known_workers(), f"{name} gives it up")
+            await until(lambda node=node: not node.worker_ids(), f"{name} gives it up")
         assert time.monotonic() - left_at < DRAIN_SECONDS
     finally:
         link.stop()
--- a/tests/probe/forwarding/test_stalled_process.py
+++ b/tests/probe/forwarding/test_stalled_process.py
@@ -31,5 +31,5 @@
         await site.ready()
         time.sleep(STALL_SECONDS)
         site.model.remove("servers/i-1")
-        await until(lambda: not node.known_workers(), "the engine is given up")
+        await until(lambda: not node.worker_ids(), "the engine is given up")
         assert "engine_doubtful" not in messages(caplog)
--- a/tests/probe/forwarding/test_store.py
+++ b/tests/probe/forwarding/test_store.py
@@ -78,16 +78,16 @@
     site.model.remove("servers/i-1")
     site.store.refuse = 0
     await until(lambda: node.view_age() < 0.3, "store is back")
-    assert "i-1" in node.known_workers()
+    assert "i-1" in node.worker_ids()
     assert (await site.ask("/plain/", "r1")).status == 200
     # It stays away although the store is well: then it is gone.
-    await until(lambda: "i-1" not in node.known_workers(), "dropped in the end")
+    await until(lambda: "i-1" not in node.worker_ids(), "dropped in the end")
 
 
 async def test_an_entry_that_vanishes_in_calm_is_gone_at_once(site):
     node = await small_site(site)
     site.model.remove("servers/i-1")
-    await until(lambda: "i-1" not in node.known_workers(), "dropped")
+    await until(lambda: "i-1" not in node.worker_ids(), "dropped")
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 503 and "retry-after" in answer.headers
 
@@ -98,5 +98,5 @@
     site.model.put("servers/i-9", b"[]")
     site.configure(configuration(2))
     await until(lambda: node.configuration_version() == 2, "version 2 in force")
-    assert "i-9" not in node.known_workers()
+    assert "i-9" not in node.worker_ids()
     assert (await site.ask("/plain/", "r1")).status == 200
--- a/tests/probe/forwarding/test_tenant_limits.py
+++ b/tests/probe/forwarding/test_tenant_limits.py
@@ -103,7 +103,7 @@
     await fleet(site)
     await flood(site, 0, 20)
     meter = next(node for node in site.nodes.values() if node.gauge("limit_share") >= 0.99)
-    meter.hear_nothing()
+    meter.stop_receiving()
     answers = []
     living = [name for name in ZONES if site.nodes[name] is not meter]
     began = asyncio.get_running_loop().time()
--- a/tests/probe/forwarding/test_turned_away_node.py
+++ b/tests/probe/forwarding/test_turned_away_node.py
@@ -54,7 +54,7 @@
         site.model.remove("servers/i-1")
         for zone in ZONES:
             node = site.nodes[zone]
-            await until(lambda node=node: not node.known_workers(), f"{zone} gives it up")
+            await until(lambda node=node: not node.worker_ids(), f"{zone} gives it up")
         assert "engine_doubtful" not in messages(caplog)
 
 
--- a/tests/probe/forwarding/test_unusable_entries.py
+++ b/tests/probe/forwarding/test_unusable_entries.py
@@ -48,10 +48,10 @@
         arrived = len(spoilt.arrivals)
         answers = [await site.ask("/safe/x", f"spoilt-{version}-{number}") for number in range(4)]
         assert [one.status for one in answers] == [200] * 4
-        if len(spoilt.arrivals) > arrived or node.takes_new_work("i-1"):
+        if len(spoilt.arrivals) > arrived or node.accepts_new_requests("i-1"):
             used.append(entry[:80])
         site.enter(spoilt, "plain")
         await site.until_current(version + 2)
-        assert node.takes_new_work("i-1"), "a whole entry puts it into use again"
+        assert node.accepts_new_requests("i-1"), "a whole entry puts it into use again"
         version += 2
     assert used == []
--- a/tests/probe/forwarding/test_worker_limits.py
+++ b/tests/probe/forwarding/test_worker_limits.py
@@ -160,7 +160,7 @@
     worker.born += 1000
     site.enter(worker, "plain")
     for node in site.nodes.values():
-        await until(lambda node=node: node.takes_new_work("i-0"), "the new start is in use")
+        await until(lambda node=node: node.accepts_new_requests("i-0"), "the new start is in use")
     before = len(worker.arrivals)
     await traffic.run(1.0)
     assert len(worker.arrivals) - before > 5
@@ -207,7 +207,7 @@
 def relay_number(site, zone: str) -> int:
     """Return the place of a node among the relays, 0 for the longest in office."""
     node = site.nodes[zone]
-    return node.known_relays().index(node.settings.node.peers)
+    return node.relay_addresses().index(node.settings.node.peers)
 
 
 @pytest.mark.parametrize("value", ["soon", "-4", "1e400", "nan", "3 s", "9" * 400])
--- a/tests/unit/forwarding/test_bound_after_outage.py
+++ b/tests/unit/forwarding/test_bound_after_outage.py
@@ -41,7 +41,7 @@
     moment = first
     while moment <= last:
         clock.now = moment
-        registry.note_failed_call(moment)
+        registry.record_failed_call(moment)
         moment += 0.5
 
 
@@ -54,16 +54,16 @@
 def test_a_bound_that_has_passed_stays_passed(registry, clock):
     registry.confirm(130.0)
     fail(registry, clock, 131.0, 134.0)
-    assert registry.begins_until("m", 1) == PASSED_AT
+    assert registry.start_deadline("m", 1) == PASSED_AT
     regain(registry, clock, 134.5)
-    assert registry.begins_until("m", 1) == PASSED_AT
+    assert registry.start_deadline("m", 1) == PASSED_AT
 
 
 def test_an_outage_that_begins_before_the_bound_moves_it(registry, clock):
     registry.confirm(124.0)
     fail(registry, clock, 125.0, 131.0)
     regain(registry, clock, 131.5)
-    assert registry.begins_until("m", 1) == 131.0 + 8.0
+    assert registry.start_deadline("m", 1) == 131.0 + 8.0
 
 
 def test_outages_that_follow_each_other_within_the_bound_move_it_each_time(registry, clock):
@@ -71,10 +71,10 @@
     regain(registry, clock, 125.5)
     fail(registry, clock, 129.0, 131.0)
     regain(registry, clock, 131.5)
-    assert registry.begins_until("m", 1) == 131.0 + 8.0
+    assert registry.start_deadline("m", 1) == 131.0 + 8.0
     registry.confirm(140.0)
     fail(registry, clock, 141.0, 143.0)
-    assert registry.begins_until("m", 1) == 131.0 + 8.0
+    assert registry.start_deadline("m", 1) == 131.0 + 8.0
 
 
 def test_calls_that_fail_at_this_node_alone_leave_the_bound_as_the_outage_before_moved_it(
@@ -86,12 +86,12 @@
     registry.confirm(127.7)
     fail(registry, clock, 128.0, 130.0)
     assert registry.health.outage_at == 125.0
-    assert registry.begins_until("m", 1) == 125.0 + 8.0
+    assert registry.start_deadline("m", 1) == 125.0 + 8.0
 
 
 def test_a_version_that_is_named_after_an_outage_has_its_own_bound(registry, clock):
     fail(registry, clock, 131.0, 133.0)
     regain(registry, clock, 134.0)
     name_weights(registry, 3)
-    assert registry.begins_until("m", 1) == PASSED_AT
-    assert registry.begins_until("m", 2) == 134.0 + 8.0
+    assert registry.start_deadline("m", 1) == PASSED_AT
+    assert registry.start_deadline("m", 2) == 134.0 + 8.0
--- a/tests/unit/forwarding/test_content_trials.py
+++ b/tests/unit/forwarding/test_content_trials.py
@@ -43,7 +43,7 @@
 @pytest.fixture
 def trials(store, registry, clock):
     one = ContentTrials("n1", store, registry, clock)
-    registry.on_own_entry = one.entry_changed
+    registry.on_system_entry = one.entry_changed
     return one
 
 
--- a/tests/unit/forwarding/test_crash_evidence.py
+++ b/tests/unit/forwarding/test_crash_evidence.py
@@ -39,8 +39,8 @@
 
 def registry_of(engine) -> types.SimpleNamespace:
     known = types.SimpleNamespace(info=engine, replaced=False)
-    view = types.SimpleNamespace(of_id=lambda worker_id: known)
-    return types.SimpleNamespace(view=view, takes_requests=lambda start: True)
+    view = types.SimpleNamespace(by_id=lambda worker_id: known)
+    return types.SimpleNamespace(view=view, accepts_requests=lambda start: True)
 
 
 async def judged(*losses: tuple[str, bool]) -> list[Crash]:
@@ -153,7 +153,7 @@
         return types.SimpleNamespace(info=later if has_later else engine, replaced=False)
 
     registry = registry_of(engine)
-    registry.view.of_id = known
+    registry.view.by_id = known
     evidence = CrashEvidence(registry, crashes.append)
     evidence.lost("content", engine, False)
     await evidence.settled(START)
--- a/tests/unit/forwarding/test_crash_reports.py
+++ b/tests/unit/forwarding/test_crash_reports.py
@@ -60,7 +60,7 @@
     def __init__(self, store, registry, clock, name="n1"):
         self.ledger = CrashLedger(clock)
         self.reports = CrashReports(name, store, registry, self.ledger, clock, random.Random(1))
-        registry.on_own_entry = self.reports.entry_changed
+        registry.on_system_entry = self.reports.entry_changed
 
     async def told(self) -> None:
         task = asyncio.create_task(self.reports.run())
--- a/tests/unit/forwarding/test_entry_log.py
+++ b/tests/unit/forwarding/test_entry_log.py
@@ -9,10 +9,10 @@
 
 def test_only_the_newest_of_each_key_is_kept_and_told_in_order():
     log = EntryLog()
-    assert log.take("b", b"1", 5)
-    assert log.take("a", b"2", 7)
-    assert log.take("b", b"3", 9)
-    assert not log.take("a", b"old", 6)
+    assert log.apply("b", b"1", 5)
+    assert log.apply("a", b"2", 7)
+    assert log.apply("b", b"3", 9)
+    assert not log.apply("a", b"old", 6)
     assert log.changes_after(4) == [EntryChange("a", b"2", 7), EntryChange("b", b"3", 9)]
     assert log.changes_after(7) == [EntryChange("b", b"3", 9)]
     assert log.changes_after(9) == []
@@ -20,21 +20,21 @@
 
 def test_a_removed_key_is_told_and_does_not_come_back_with_an_older_write():
     log = EntryLog()
-    log.take("a", b"1", 5)
-    assert log.take("a", None, 6)
-    assert not log.take("a", b"late", 5)
+    log.apply("a", b"1", 5)
+    assert log.apply("a", None, 6)
+    assert not log.apply("a", b"late", 5)
     assert "a" not in log and list(log) == []
     assert log.changes_after(5) == [EntryChange("a", None, 6)]
-    assert log.take("a", b"again", 8)
+    assert log.apply("a", b"again", 8)
     assert log.changes_after(5) == [EntryChange("a", b"again", 8)]
 
 
 def test_who_asks_from_before_what_is_remembered_is_told_so(monkeypatch):
-    monkeypatch.setattr(entry_log, "MAX_GONE", 2)
+    monkeypatch.setattr(entry_log, "MAX_REMOVED_KEYS", 2)
     log = EntryLog()
     for number in range(1, 6):
-        log.take(f"k{number}", b"", number)
-        log.take(f"k{number}", None, 10 + number)
+        log.apply(f"k{number}", b"", number)
+        log.apply(f"k{number}", None, 10 + number)
     with pytest.raises(WatchCompacted):
         log.changes_after(12)
     assert [one.key for one in log.changes_after(13)] == ["k4", "k5"]
@@ -43,32 +43,32 @@
 def test_large_values_are_passed_on_packed_and_come_out_as_they_were():
     value = b'{"routes":[' + b'{"host":"a.example"},' * 2000 + b"]}"
     log = EntryLog()
-    log.take("op/config", value, 3)
+    log.apply("op/config", value, 3)
     (change,) = log.changes_after(2)
     assert len(change.value) < len(value) / 10
-    assert change.unpacked() == EntryChange("op/config", value, 3)
+    assert change.decompressed() == EntryChange("op/config", value, 3)
     with pytest.raises(ValueError, match="op/config"):
-        change._replace(value=b"garbage").unpacked()
+        change._replace(value=b"garbage").decompressed()
 
 
 def test_a_removal_that_was_forgotten_is_not_undone_by_an_older_listing(monkeypatch):
     """Only so many removed keys are remembered. A listing of a node that was behind, which still had
     an engine that had left long ago, put it into use again."""
-    monkeypatch.setattr(entry_log, "MAX_GONE", 1)
+    monkeypatch.setattr(entry_log, "MAX_REMOVED_KEYS", 1)
     log = EntryLog()
-    log.take("a", b"1", 5)
-    log.take("a", None, 6)
-    log.take("b", b"1", 7)
-    log.take("b", None, 8)
-    assert not log.take("a", b"1", 5)
-    assert log.take("a", b"again", 9)
+    log.apply("a", b"1", 5)
+    log.apply("a", None, 6)
+    log.apply("b", b"1", 7)
+    log.apply("b", None, 8)
+    assert not log.apply("a", b"1", 5)
+    assert log.apply("a", b"again", 9)
 
 
 def test_what_had_gone_before_the_first_view_is_not_learnt_from_a_node_that_is_behind():
     """The first listing did not hold the engine, which had left; a peer asked beside a store that had
     forgotten its history still had it, and it was in use again until the store answered."""
     log = EntryLog()
-    log.take("b", b"1", 7)
-    log.at = 9
-    assert not log.take("a", b"1", 5)
-    assert log.take("a", b"again", 10)
+    log.apply("b", b"1", 7)
+    log.revision = 9
+    assert not log.apply("a", b"1", 5)
+    assert log.apply("a", b"again", 10)
--- a/tests/unit/forwarding/test_feed.py
+++ b/tests/unit/forwarding/test_feed.py
@@ -47,26 +47,28 @@
     sent_at = own_clock.now
     # The answer is held up on its way for five seconds.
     own_clock.now += 5.0
-    sync._take(batch, sent_at)
+    sync._apply_batch(batch, sent_at)
     assert registry.age() == pytest.approx(6.0)
-    assert registry.own_entry("wheelslip/x") == (b"1", 3)
+    assert registry.system_entry("wheelslip/x") == (b"1", 3)
 
 
 def test_a_view_confirmed_while_the_poll_waited_counts_from_then():
     clock = Clock(100.0)
     registry, sync = follower(clock)
-    sync._take(FeedBatch(7, False, [], 0.4, None), sent_at=99.0)
+    sync._apply_batch(FeedBatch(7, False, [], 0.4, None), sent_at=99.0)
     assert registry.age() == pytest.approx(0.6)
-    assert registry.log.at == 7
+    assert registry.entry_log.revision == 7
 
 
 def test_what_is_missing_in_a_whole_listing_has_gone():
     clock = Clock(100.0)
     registry, sync = follower(clock)
     registry.apply("wheelslip/x", b"1", 3)
-    sync._take(FeedBatch(9, True, [EntryChange("wheelslip/y", b"2", 8)], 0.0, None), sent_at=99.0)
-    assert registry.own_entry("wheelslip/x") is None
-    assert registry.own_entry("wheelslip/y") == (b"2", 8)
+    sync._apply_batch(
+        FeedBatch(9, True, [EntryChange("wheelslip/y", b"2", 8)], 0.0, None), sent_at=99.0
+    )
+    assert registry.system_entry("wheelslip/x") is None
+    assert registry.system_entry("wheelslip/y") == (b"2", 8)
 
 
 class AnsweringStore:
@@ -93,7 +95,7 @@
 def test_a_relays_trouble_with_the_store_is_not_the_followers():
     clock = Clock(100.0)
     registry, sync = follower(clock)
-    sync._take(FeedBatch(9, False, [], 0.0, 0.5), sent_at=99.0)
+    sync._apply_batch(FeedBatch(9, False, [], 0.0, 0.5), sent_at=99.0)
     assert registry.health.trouble_at is None
 
 
@@ -115,8 +117,8 @@
     registry, sync = follower(clock)
     registry.apply("wheelslip/x", b"new", 12)
     sync._advance(12)
-    sync._take(
+    sync._apply_batch(
         FeedBatch(9, False, [EntryChange("wheelslip/x", b"old", 8)], 0.0, None), sent_at=99.0
     )
-    assert registry.own_entry("wheelslip/x") == (b"new", 12)
-    assert registry.log.at == 12
+    assert registry.system_entry("wheelslip/x") == (b"new", 12)
+    assert registry.entry_log.revision == 12
--- a/tests/unit/forwarding/test_platform_store.py
+++ b/tests/unit/forwarding/test_platform_store.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from wheelslip.forwarding.registry_sync import WATCH_SECONDS
+from wheelslip.forwarding.registry_sync import WATCH_TIMEOUT_SECONDS
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.platform.store import PlatformStore
 
@@ -28,7 +28,11 @@
 
 def test_a_silent_watch_ends_before_an_engine_that_leaves_may_not_be_used():
     store = RecordingStore()
-    batch = asyncio.run(store.watch("", 7, WATCH_SECONDS))
+    batch = asyncio.run(store.watch("", 7, WATCH_TIMEOUT_SECONDS))
     assert batch.revision == 7
     (wait,) = store.waits
-    assert WATCH_SECONDS < wait < BoundsSection().worker_drain_ms / 1000 - POLL_OF_A_PEER_SECONDS
+    assert (
+        WATCH_TIMEOUT_SECONDS
+        < wait
+        < BoundsSection().worker_drain_ms / 1000 - POLL_OF_A_PEER_SECONDS
+    )
--- a/tests/unit/forwarding/test_registry.py
+++ b/tests/unit/forwarding/test_registry.py
@@ -7,7 +7,7 @@
 import pytest
 
 from standins.platform_worker import worker_entry
-from wheelslip.forwarding.registry import LONGEST_START_SECONDS
+from wheelslip.forwarding.registry import MAX_PROCESS_START_SECONDS
 from wheelslip.forwarding.registry_sync import RegistrySync
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.keyvalue.model import KeyValueUnavailable, RangeResult, WatchBatch, WatchCompacted
@@ -40,7 +40,7 @@
 
 def test_a_listing_without_a_worker_removes_it(registry):
     enter(registry, "a", revision=5)
-    registry.replace_all({}, at=9)
+    registry.replace_all({}, listing_revision=9)
     assert "a" not in registry.workers
 
 
@@ -53,16 +53,19 @@
     registry.confirm(122.5)
     name_weights(registry, 3, 3)
     bound = BOUNDS.weights_deadline_ms / 1000
-    assert registry.begins_until("m", 1) == 119.5 + bound
-    assert registry.begins_until("m", 2) == 122.5 + bound
-    assert registry.begins_until("m", 3) == float("inf")
+    assert registry.start_deadline("m", 1) == 119.5 + bound
+    assert registry.start_deadline("m", 2) == 122.5 + bound
+    assert registry.start_deadline("m", 3) == float("inf")
 
 
 def test_a_node_that_has_just_started_takes_old_weights_only_while_it_is_not_judged(
     registry, clock
 ):
     name_weights(registry, 2, 2)
-    assert registry.begins_until("m", 1) == 100 - LONGEST_START_SECONDS + BOUNDS.contact_ms / 1000
+    assert (
+        registry.start_deadline("m", 1)
+        == 100 - MAX_PROCESS_START_SECONDS + BOUNDS.contact_ms / 1000
+    )
 
 
 def test_weights_are_named_late_at_a_node_that_stood_still(registry, clock):
@@ -73,14 +76,17 @@
     registry.confirm(100.0)
     clock.now += 6
     name_weights(registry, 2, 2)
-    assert registry.begins_until("m", 1) == 100 + BOUNDS.weights_deadline_ms / 1000
+    assert registry.start_deadline("m", 1) == 100 + BOUNDS.weights_deadline_ms / 1000
 
 
 def test_weights_at_the_first_view_may_have_been_named_long_ago(registry, clock):
     """A node beside a silent store gets its first view from another node, seconds after its start."""
     clock.now += 3
     name_weights(registry, 2, 2)
-    assert registry.begins_until("m", 1) == 100 - LONGEST_START_SECONDS + BOUNDS.contact_ms / 1000
+    assert (
+        registry.start_deadline("m", 1)
+        == 100 - MAX_PROCESS_START_SECONDS + BOUNDS.contact_ms / 1000
+    )
 
 
 def test_the_bound_begins_anew_after_trouble(registry, clock):
@@ -88,9 +94,9 @@
     registry.confirm(120.0)
     name_weights(registry, 2, 2)
     clock.now += 5
-    registry.note_failed_call(123.9)
-    registry.note_failed_call(125.0)
-    assert registry.begins_until("m", 1) == 125 + BOUNDS.weights_deadline_ms / 1000
+    registry.record_failed_call(123.9)
+    registry.record_failed_call(125.0)
+    assert registry.start_deadline("m", 1) == 125 + BOUNDS.weights_deadline_ms / 1000
 
 
 class ScriptedStore:
@@ -173,7 +179,7 @@
     enter(registry, "a", revision=5)
     registry.confirm(100.0)
     clock.now = 104.0
-    registry.note_failed_call(104.0)
+    registry.record_failed_call(104.0)
     registry.apply("servers/a", None, 6)
     clock.now = 104.0 + BOUNDS.worker_drain_ms / 1000 - 0.2
     assert registry.workers_of("s") == []
@@ -184,9 +190,9 @@
     registry.confirm(120.0)
     clock.now = 120.1
     name_weights(registry, 2, 2)
-    registry.note_failed_call(121.0)
-    registry.note_failed_call(122.4)
-    assert registry.begins_until("m", 1) == 120 + BOUNDS.weights_deadline_ms / 1000
+    registry.record_failed_call(121.0)
+    registry.record_failed_call(122.4)
+    assert registry.start_deadline("m", 1) == 120 + BOUNDS.weights_deadline_ms / 1000
 
 
 def test_replaced_weights_are_given_up_in_time_by_a_process_that_was_slow_to_start(registry):
@@ -198,4 +204,4 @@
     name_weights(registry, 2, 2)
     slowest_start = 1.9
     allowed_until = 100.0 - slowest_start + BOUNDS.contact_ms / 1000
-    assert registry.begins_until("m", 1) <= allowed_until
+    assert registry.start_deadline("m", 1) <= allowed_until
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -43,12 +43,12 @@
     def read_all(self, revision: int, *workers: str) -> None:
         """Read the whole store; its entries are all of revision 1."""
         entries = tuple(KeyValue(f"servers/{one}", worker_entry(), 1) for one in workers)
-        self.sync._take_listing(RangeResult(revision, entries))
+        self.sync._apply_listing(RangeResult(revision, entries))
         self.registry.confirm(clock())
 
     def poll(self, other: "Node") -> FeedBatch:
-        batch = asyncio.run(other.server.answer(FeedPoll(self.sync._after)))
-        self.sync._take(batch, clock())
+        batch = asyncio.run(other.server.answer(FeedPoll(self.sync._revision)))
+        self.sync._apply_batch(batch, clock())
         return batch
 
     def in_use(self) -> list[str]:
--- a/tests/unit/forwarding/test_rollout_record.py
+++ b/tests/unit/forwarding/test_rollout_record.py
@@ -19,7 +19,7 @@
         super().__init__(PlatformRegistry(), lambda: BOUNDS, clock)
         self.entries = {}
 
-    def own_entry(self, key):
+    def system_entry(self, key):
         return self.entries.get(key)
 
 
--- a/tests/unit/forwarding/test_start_that_left.py
+++ b/tests/unit/forwarding/test_start_that_left.py
@@ -89,7 +89,7 @@
 def test_an_entry_that_lapsed_in_an_outage_is_used_as_soon_as_it_is_back(registry, clock):
     registry.apply("servers/a", entry(), 1)
     registry.confirm(clock.now)
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/a", None, 2)
     clock.now += 60
     assert used(registry) == []
--- a/tests/unit/forwarding/test_store_outage.py
+++ b/tests/unit/forwarding/test_store_outage.py
@@ -28,9 +28,9 @@
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch):
-    monkeypatch.setattr(registry_sync, "PEERS_ASKED", (1, 1))
-    monkeypatch.setattr(registry_sync, "RETRY_SECONDS", (0.0, 0.0))
-    monkeypatch.setattr(registry_sync, "GATHER_SECONDS", 0.0)
+    monkeypatch.setattr(registry_sync, "PEER_POLLS", (1, 1))
+    monkeypatch.setattr(registry_sync, "PEER_POLL_PAUSE_SECONDS", (0.0, 0.0))
+    monkeypatch.setattr(registry_sync, "COALESCE_SECONDS", 0.0)
 
 
 def entry():
@@ -93,7 +93,7 @@
     sync = RegistrySync(
         store, registry, clock, random.Random(1), FirstRelay(), lambda: ["peer:1"], "own:1"
     )
-    sync._feed = sync._asked = feed
+    sync._feed = sync._peer_feed = feed
     sync._advance(5)
     return sync
 
@@ -133,10 +133,10 @@
     """
     registry.confirm(100.0)
     clock.now = 104.1
-    registry.note_failed_call(102.6)
+    registry.record_failed_call(102.6)
     registry.confirm(104.05)
     clock.now = 104.9
-    registry.note_failed_call(104.9)
+    registry.record_failed_call(104.9)
     assert registry.health.trouble_at == 102.6
 
 
@@ -161,7 +161,7 @@
     """
     registry.confirm(100.0)
     clock.now = 103.0
-    registry.note_failed_call(103.0)
+    registry.record_failed_call(103.0)
     clock.now = 103.1
     registry.confirm(102.8)
     registry.health.note_answered(103.1, 103.1)
@@ -179,8 +179,8 @@
     batch = server._batch(FeedPoll(5), [], False, clock())
     other = Registry(PlatformRegistry(), lambda: BOUNDS, clock)
     follower = RegistrySync(None, other, clock, random.Random(1))
-    follower._take(batch, clock())
-    assert follower._seconds_to_look() <= 0
+    follower._apply_batch(batch, clock())
+    assert follower._seconds_until_probe() <= 0
 
 
 def test_a_peer_that_is_behind_removes_nothing_that_is_newer_than_its_view(registry, clock):
--- a/tests/unit/forwarding/test_view_histories.py
+++ b/tests/unit/forwarding/test_view_histories.py
@@ -95,16 +95,16 @@
         self.history = history
         self.known = {worker: Known() for worker in WORKERS}
         self.connected: set[str] = set()
-        self.view.on_gone = self.connected.discard
+        self.view.on_removed = self.connected.discard
         self.sync = RegistrySync(None, self, lambda: 100.0, None)
         self.server = FeedServer(self, LoadTable(), list, lambda: 100.0)
 
     def apply(self, key: str, value: bytes | None, revision: int) -> None:
         known = self.known[key.rpartition("/")[2]]
         known_to = self.history.told.get((id(self), key), 0)
-        if key not in self.log:
+        if key not in self.entry_log:
             # Unknown although this node knows all keys up to a revision: it has gone by then.
-            known_to = max(known_to, self.log.at)
+            known_to = max(known_to, self.entry_log.revision)
         newest = revision > known_to
         super().apply(key, value, revision)
         if newest:
@@ -175,15 +175,15 @@
         """Each node knows every change up to the revision that it takes itself to be current to."""
         for node in self.nodes:
             for key, changes in self.changes.items():
-                done = [one for one in changes if one[0] <= node.log.at]
+                done = [one for one in changes if one[0] <= node.entry_log.revision]
                 if done:
                     self._check_key(node, key, *done[-1])
 
     def _check_key(self, node: Node, key: str, revision: int, value: bytes | None) -> None:
         if value is None:
-            assert key not in node.log or node.log.revision_of(key) > revision
-        elif key in node.log:
-            assert node.log.revision_of(key) >= revision
+            assert key not in node.entry_log or node.entry_log.revision_of(key) > revision
+        elif key in node.entry_log:
+            assert node.entry_log.revision_of(key) >= revision
         else:
             later = [one for one in self.changes[key] if one[0] > revision and one[1] is None]
             assert later, "a worker that nobody removed is gone"
@@ -193,7 +193,7 @@
         self.changes[f"servers/{worker}"].append((revision, value))
 
     def _watch(self, node: Node) -> None:
-        for change in self.store.changes_after("", node.sync._after or 0):
+        for change in self.store.changes_after("", node.sync._revision or 0):
             item = self._value_of(change)
             node.apply(change["tls_key"], item, change["revision"])
         node.sync._advance(self.store.revision)
@@ -209,12 +209,12 @@
         return {one.key: (one.value, one.revision) for one in self.store.items.values()}
 
     def _poll(self, node: Node, other: Node) -> None:
-        poll = FeedPoll(node.sync._after)
+        poll = FeedPoll(node.sync._revision)
         changes, whole = other.server._changes(poll)
         payload, _ = split_frame(encode_frame(other.server._batch(poll, changes, whole, 100.0)))
         batch = decode_payload(payload, FeedBatch)
-        changes = [one.unpacked() for one in batch.changes]
-        node.sync._take(batch._replace(changes=changes, confirmed=0.0), 100.0)
+        changes = [one.decompressed() for one in batch.changes]
+        node.sync._apply_batch(batch._replace(changes=changes, confirmed=0.0), 100.0)
 
 
 KINDS = ("start", "drain", "late", "spoil", "leave", "watch", "poll", "list", "list behind")
@@ -229,12 +229,12 @@
 )
 
 
-@pytest.mark.parametrize("gone_remembered", [1, entry_log.MAX_GONE])
+@pytest.mark.parametrize("gone_remembered", [1, entry_log.MAX_REMOVED_KEYS])
 @given(steps=STEPS)
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow(gone_remembered, steps):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(entry_log, "MAX_GONE", gone_remembered)
+        patch.setattr(entry_log, "MAX_REMOVED_KEYS", gone_remembered)
         history = History()
         for step in steps:
             history.play(*step)
--- a/tests/unit/forwarding/test_worker_starts.py
+++ b/tests/unit/forwarding/test_worker_starts.py
@@ -32,10 +32,10 @@
 def test_news_of_an_older_start_is_passed_over_wherever_it_arrives(registry, clock):
     """An entry that the older start wrote is carried out late; a listing and a record are behind."""
     registry.apply("servers/a", entry(NEWER, version=1), 5)
-    registry.replace_all({"servers/a": (entry(BORN, version=2), 4)}, at=4)
+    registry.replace_all({"servers/a": (entry(BORN, version=2), 4)}, listing_revision=4)
     registry.apply("servers/a", entry(BORN, version=2, state="draining"), 6)
-    registry.take_rollout(frozenset(), {incarnation_of("a", BORN): {"m": 2}})
-    registry.note_weights(incarnation_of("a", BORN), "m", 2)
+    registry.apply_rollout(frozenset(), {incarnation_of("a", BORN): {"m": 2}})
+    registry.record_weights(incarnation_of("a", BORN), "m", 2)
     registry.mark_replaced(incarnation_of("a", BORN))
     (worker,) = registry.workers_of("s")
     assert (worker.info.born, worker.weights) == (NEWER, {"m": 1})
@@ -72,7 +72,7 @@
     """Nothing would ever end what was kept of it: each restart of a worker cost some memory."""
     registry.apply("servers/a", entry(), 1)
     records = WorkerPlacement(registry, clock, random.Random(1))
-    registry.view.on_gone = records.forget
+    registry.view.on_removed = records.forget
     placement = Placement(registry.workers_of("s")[0])
     began_at = records.begin(placement)
     registry.apply("servers/a", entry(NEWER), 2)
@@ -109,7 +109,7 @@
         "servers/c/d": (entry(), 4),
         "servers/e": (entry(), 5),
     }
-    registry.replace_all(listing, at=9)
+    registry.replace_all(listing, listing_revision=9)
     assert sorted(one.info.id for one in registry.workers_of("s")) == [f"a/{BORN}", f"e/{BORN}"]
 
 
@@ -118,7 +118,7 @@
     registry.apply("op/config", b'{"version": 1, "services": [{"name": "s"}]}', 1)
     registry.apply("servers/a", entry(), 2)
     registry.apply("servers/b", worker_entry("elsewhere", model="m"), 3)
-    ordered = [one.info.id for one in registry.workers.values() if registry.takes_orders(one)]
+    ordered = [one.info.id for one in registry.workers.values() if registry.accepts_orders(one)]
     assert ordered == [f"a/{BORN}"]
 
 
@@ -130,9 +130,9 @@
     registry.apply("servers/a", entry(state="draining"), 10)
     registry.apply("servers/b", b"{}", 11)
     registry.mark_replaced(incarnation_of("c", BORN))
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/d", None, 12)
-    ordered = [one.info.id for one in registry.workers.values() if registry.takes_orders(one)]
+    ordered = [one.info.id for one in registry.workers.values() if registry.accepts_orders(one)]
     assert ordered == [f"e/{BORN}"]
 
 
@@ -140,7 +140,7 @@
     """It was out of use before, so nothing speaks for its return."""
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", b"{}", 2)
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/a", None, 3)
     assert not registry.workers
 
@@ -148,13 +148,13 @@
 def test_a_document_of_operators_that_is_removed_stays_in_force(registry):
     registry.apply("op/config", b'{"version": 3, "services": [{"name": "s"}]}', 1)
     registry.apply("op/version/m", b'{"model_id": "m", "version": 2}', 2)
-    registry.replace_all({}, at=9)
+    registry.replace_all({}, listing_revision=9)
     assert (registry.configuration.version, registry.newest_weights("m")) == (3, 2)
 
 
 def test_a_start_that_follows_an_engine_in_doubt_is_in_no_doubt(registry, clock):
     registry.apply("servers/a", entry(), 1)
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/a", None, 2)
     registry.apply("servers/a", entry(NEWER), 3)
     (worker,) = registry.workers_of("s")
