--- a/src/wheelslip/forwarding/entry_log.py
+++ b/src/wheelslip/forwarding/entry_log.py
@@ -1,7 +1,7 @@
-"""Newest value of every key of the store that a node knows, and which keys have gone.
+"""Latest value of every key of the store, and the latest removed keys.
 
-Kept as raw bytes, so that a node can pass on what it read without knowing its meaning.
-Pure state: no clock, no sockets.
+Values are raw bytes, so that a node can pass them on without decoding them. Pure state: no clock,
+no sockets.
 """
 
 import zlib
@@ -11,19 +11,19 @@
 from wheelslip.keyvalue.model import WatchCompacted
 
 MAX_REMOVED_KEYS = 1000
-"""Removed keys remembered; whoever asks for changes from before the oldest reads all anew."""
-
+"""Removed keys recorded. A poll from a revision before the oldest one gets a complete listing."""
 
 COMPRESSION_THRESHOLD_BYTES = 1024
-"""Values from this size on are kept and passed on packed. A configuration of 30 KB goes to all
-followers of a relay at once, and holds up all else on its link: 26 ms for each on a link of
-10 Mbit/s. Workers' entries are smaller."""
+"""Size from which values are stored and sent compressed. A relay sends a changed configuration to
+all its followers at once; workers' entries are smaller."""
 
 
 class EntryChange(NamedTuple):
-    """One key as it was last changed; ``value`` is ``None`` when it has gone.
+    """The last change of one key.
 
-    :ivar compressed: the value is compressed (zlib).
+    :ivar value: ``None`` when the key was removed.
+    :ivar revision: revision of the store at which the key changed.
+    :ivar compressed: whether the value is compressed (zlib).
     """
 
     key: str
@@ -33,15 +33,15 @@
 
     @classmethod
     def from_value(cls, key: str, value: bytes, revision: int) -> "EntryChange":
-        """Return a change to a value, packed if that is worth it."""
+        """Return a change of a key to a value, compressed if the value is large."""
         if len(value) < COMPRESSION_THRESHOLD_BYTES:
             return cls(key, value, revision)
         return cls(key, zlib.compress(value), revision, compressed=True)
 
     def decompressed(self) -> "EntryChange":
-        """Return the change with its value as it is in the store.
+        """Return the change with its value uncompressed.
 
-        :raises ValueError: when it cannot be unpacked.
+        :raises ValueError: when the value cannot be decompressed.
         """
         if not self.compressed:
             return self
@@ -52,9 +52,9 @@
 
 
 class EntryLog:
-    """Keys by name, each at its highest revision seen.
+    """The latest change of each key.
 
-    :ivar revision: revision of the store up to which every change is in this log.
+    :ivar revision: revision of the store up to which this log contains every change.
     """
 
     def __init__(self):
@@ -68,16 +68,20 @@
         return key in self._entries
 
     def __iter__(self) -> Iterator[str]:
-        """Iterate over the keys that are there now; changes meanwhile do no harm."""
+        """Iterate over a snapshot of the present keys."""
         return iter(list(self._entries))
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's last known change; 0 when it was never seen."""
+        """Return the revision of a key's last change; 0 for an unknown key."""
         entry = self._entries.get(key)
         return entry.revision if entry else self._removed.get(key, 0)
 
     def apply(self, key: str, value: bytes | None, revision: int) -> bool:
-        """Take one change; return whether it is newer than what was known."""
+        """Record one change.
+
+        :param value: ``None`` when the key was removed.
+        :return: whether the change was newer than the recorded state and was recorded.
+        """
         if revision <= self.revision_of(key):
             return False
         if self._is_removed(key, revision):
@@ -92,10 +96,10 @@
         return True
 
     def _is_removed(self, key: str, revision: int) -> bool:
-        """Whether a key that is not there now was there at a revision, and has been removed since.
+        """Return whether an absent key that existed at a revision has been removed since.
 
-        An engine that had left came back into use by the listing of a node that was behind, when it
-        had left before this node's first view or its removal was forgotten.
+        Without this, a listing of a node with an older view would restore keys whose removal is not
+        recorded here.
         """
         return key not in self._entries and revision <= max(self._complete_from, self.revision)
 
@@ -105,10 +109,10 @@
             self._complete_from = max(self._complete_from, self._removed.pop(oldest))
 
     def begin_listing(self, revision: int) -> None:
-        """All keys as of a revision are going to be taken.
+        """Prepare for a complete listing as of a revision.
 
-        Keys that came and went since the revision up to which this log was complete are not known,
-        so nobody is told changes since a revision in between.
+        Keys that were added and removed since the last complete revision are unknown, so no changes
+        can be returned for revisions in between.
         """
         if revision > self.revision:
             _, end = self._gap
@@ -116,25 +120,24 @@
             self._gap = (self.revision, revision)
 
     def listing(self) -> list[EntryChange]:
-        """Return all keys that are there now."""
+        """Return all present keys."""
         return list(self._entries.values())
 
     def changes_after(self, revision: int) -> list[EntryChange]:
-        """Return what has changed since a revision, in order.
+        """Return the changes since a revision, in the order of their revisions.
 
-        :raises WatchCompacted: when a key that has gone since may be forgotten.
+        :raises WatchCompacted: when removals since that revision may be missing.
         """
         if revision < self._complete_from:
-            raise WatchCompacted(f"nothing is known from before {self._complete_from}")
+            raise WatchCompacted(f"history before revision {self._complete_from} was discarded")
         begin, end = self._gap
         if begin < revision < end:
-            # An engine that left before this node's first view stayed in use for good at
-            # followers that were polling it from before that.
-            raise WatchCompacted(f"removals between {begin} and {end} are not known")
-        changes = [one for one in self._entries.values() if one.revision > revision]
+            # Followers would keep workers that departed before this node's first view.
+            raise WatchCompacted(f"removals between revisions {begin} and {end} are unknown")
+        changes = [change for change in self._entries.values() if change.revision > revision]
         changes += [
             EntryChange(key, None, removed_at)
             for key, removed_at in self._removed.items()
             if removed_at > revision
         ]
-        return sorted(changes, key=lambda one: one.revision)
+        return sorted(changes, key=lambda change: change.revision)
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -1,4 +1,4 @@
-"""One forwarding node: wiring, tasks, reload and planned stop."""
+"""A forwarding node: construction, tasks, reload and graceful shutdown."""
 
 import asyncio
 import random
@@ -49,17 +49,24 @@
 from wheelslip.routing.worker_choice import WorkerPlacement
 
 LAME_DUCK_SECONDS = 2.6
-"""Time between failing readiness and closing: two questions a second apart must miss."""
+"""Time between failing readiness and closing idle connections: two readiness probes a second apart
+must fail in between."""
 
 STOP_MARGIN_SECONDS = 0.4
+"""Part of the grace time that is reserved for closing."""
+
 STOP_POLL_SECONDS = 0.05
 
 
 class ForwardingNode:
-    """All roles of one machine, in one process.
-
-    :param settings_path: a TOML file, read again when it changes and on SIGHUP.
-    :param make_store: builds the store client from a function that gives its address.
+    """A node with all its roles, in one process.
+
+    :param settings_path: path of a TOML file, read again when it changes and on SIGHUP.
+    :param requests: dialect of requests and answers.
+    :param documents: dialect of the registry's keys and documents.
+    :param make_store: builds the store client from a function that returns the store's address.
+    :param control: client for the workers' reports and orders.
+    :param clock: steady clock in seconds.
     """
 
     def __init__(
@@ -218,54 +225,54 @@
         return self.settings.bounds
 
     def worker_ids(self) -> set[str]:
-        """Return the ids of the workers in view."""
+        """Return the ids of the workers in the view."""
         return {worker.info.worker_id for worker in self._registry.workers.values()}
 
     def accepts_new_requests(self, worker_id: str) -> bool:
-        """Whether a worker in view gets new requests."""
+        """Return whether a worker is in the view and accepts new requests."""
         worker = self._registry.view.by_id(worker_id)
         return worker is not None and self._registry.view.accepts_requests(worker)
 
     def configuration_version(self) -> int | None:
-        """Return the version of the configuration in force."""
+        """Return the version of the configuration in force; ``None`` without one."""
         configuration = self._registry.configuration
         return configuration.version if configuration else None
 
     def gauge(self, name: str) -> float:
-        """Return the present value of one gauge of the metrics."""
+        """Return the current value of a gauge."""
         return self._metrics.gauges[name]()
 
     def running_requests_at(self, worker_id: str) -> float:
-        """Return the requests of all nodes at a worker, as far as this one knows."""
+        """Return the in-flight requests of all nodes at a worker, as recorded by this node."""
         worker = self._registry.view.by_id(worker_id)
         return self._placement.all_loads(worker.info.id).running if worker is not None else 0.0
 
     def hold_bytes(self, count: int) -> None:
-        """Count bytes as if bodies of requests held them."""
+        """Reserve memory as request bodies do."""
         self._callers.hold_bytes(count)
 
     def receive_datagram(self, data: bytes) -> None:
-        """Take a peer's datagram as if it came from the socket."""
+        """Handle a datagram as if the socket had received it."""
         self._datagrams.datagram_received(data, ("127.0.0.1", 0))
 
     def stop_receiving(self) -> None:
-        """Lose all datagrams from now on, as behind a cut."""
+        """Close the datagram socket, as in a network partition."""
         self._datagrams.close()
 
     def relay_addresses(self) -> list[str]:
-        """Return the addresses of the relays in view."""
+        """Return the addresses of the relays in the view, the longest-serving first."""
         return self._relay.by_tenure()
 
     def refuses_new(self) -> bool:
-        """Whether the stop has come so far that new requests are refused."""
+        """Return whether the shutdown has reached the phase that refuses new requests."""
         return self._callers.refuses_new
 
     def view_age(self) -> float:
-        """Return the seconds since the view was last confirmed."""
+        """Return the seconds since the view was last current; infinite if it never was."""
         return self._registry.age()
 
     def is_ready(self) -> bool:
-        """Whether this node wants new connections."""
+        """Return whether this node accepts new connections."""
         max_age = READY_AGE_SHARE * self.bounds().key_revocation_ms / 1000
         has_configuration = self._registry.configuration is not None
         return has_configuration and self._registry.age() < max_age and not self._callers.stopping
@@ -338,7 +345,7 @@
         self._fleet.forget(incarnation)
 
     async def run(self) -> None:
-        """Serve until a signal asks for a planned stop and that is complete."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         node = self.settings.node
         handler = NonBlockingHandler(sys.stdout.fileno())
         configure_logging(node.name, node.zone, handler)
@@ -352,7 +359,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Listen and start all tasks."""
+        """Open the listening sockets and start all tasks."""
         node = self.settings.node
         await self._readiness.listen(*parse_address(node.readiness))
         await self._callers.listen(*parse_address(node.callers))
@@ -382,7 +389,7 @@
         log_event(LogEvent.NODE_STARTED, callers=node.callers, peers=node.peers)
 
     async def stop(self) -> None:
-        """Finish what runs, within the grace time, and end."""
+        """Shut down: fail readiness, drain requests within the grace time, and close."""
         began_at = self._clock()
         stop_deadline = began_at + self.bounds().stop_grace_seconds - STOP_MARGIN_SECONDS
         log_event(LogEvent.NODE_STOP_REQUESTED, running=self._callers.busy)
@@ -394,11 +401,11 @@
                 log_event(LogEvent.NODE_STOP_CUT, cut=self._callers.busy)
                 break
             if self._clock() >= closes_at:
-                # What comes now might outlast the grace: it is refused as not run.
+                # New requests might exceed the grace time: refuse them as not executed.
                 self._callers.refuses_new = True
                 self._callers.close_idle()
             await asyncio.sleep(STOP_POLL_SECONDS)
-        # What is still coming in on connections that stay open would be begun and cut.
+        # Requests that still arrive on open connections would be cut off.
         self._callers.refuses_new = True
         releasing.cancel()
         self._tasks.cancel()
@@ -417,5 +424,5 @@
             self._meter.release()
 
     def reload(self) -> None:
-        """Read the settings again; bad ones leave the old ones in force."""
+        """Read the settings again; invalid ones leave the previous ones in force."""
         self._settings_file.reload()
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -1,7 +1,7 @@
-"""What this node knows of the deployment: configuration, workers, named weights.
+"""One node's view of the deployment: configuration, workers and named weights versions.
 
-The view is fed by ``registry_sync`` and read by everything else. It never falls back: a key
-is changed only by a higher revision, and the configuration only by a higher version.
+:mod:`wheelslip.forwarding.registry_sync` updates the view. Updates are monotonic: a key changes
+only with a higher revision, and the configuration only with a higher version.
 """
 
 import asyncio
@@ -31,28 +31,27 @@
 RecordT = TypeVar("RecordT", bound=msgspec.Struct)
 
 DOUBTFUL_MARGIN_SECONDS = 0.3
-"""A doubtful worker gets nothing this long before the contact time is over: a request is
-some 10 ms under way, and up to 200 ms on a slowed link."""
+"""Time before its deadline at which a doubtful worker stops receiving requests, so that requests
+in transit arrive before the deadline."""
 
 LOADING_RECORD_TTL_SECONDS = 6.0
-"""A record of loading workers is void after this: its holder may have died."""
+"""Age from which a record of loading workers is ignored, since its writer may have crashed."""
 
 MAX_PROCESS_START_SECONDS = 2.0
-"""A process first looks at its clock so long after it was started, at most: 1.9 s beside much other
-work (randomised runs), 0.2 s on half a core."""
+"""Upper bound on the time between the start of the process and its first reading of the clock."""
 
 REFUSAL_LOGS_PER_SECOND = 10.0
-"""Log lines about documents that cannot be read which one node writes on average."""
+"""Average rate of log lines about unreadable documents."""
 
 
 @dataclass
 class _NamedVersion:
-    """A version of a model's weights.
+    """A weights version that the operator has named for a model.
 
-    :ivar named_after: the latest moment at which it was surely not named yet; ``None`` when it was
-        there at this node's first view.
-    :ivar deadline_runs_from: from then on its bound runs: that moment, or the end of an outage within
-        the bound.
+    :ivar named_after: last time at which a current view did not contain the version; ``None`` when
+        the node's first view contained it.
+    :ivar deadline_runs_from: start of the deadline of the versions that this one replaces:
+        ``named_after``, or the last failed call of an outage that began before that deadline.
     """
 
     version: int
@@ -63,9 +62,16 @@
 class Registry:
     """The view of one node.
 
+    :param bounds: returns the bounds in force.
     :param clock: steady clock in seconds.
-    :ivar notices: what engines said of themselves in their answers.
-    :ivar refused_entries: documents that could not be read since the start, each change once.
+    :ivar entry_log: latest value of every key of the store.
+    :ivar health: availability of the store.
+    :ivar configuration: the configuration in force; ``None`` before the first one was read.
+    :ivar notices: shutdown, backoff and rate limit notices from the answers of workers.
+    :ivar loading: incarnations that the rollout takes out of service to load weights.
+    :ivar on_system_entry: called with the key of each changed entry that wheelslip itself writes.
+    :ivar refused_entries: number of unreadable documents since the start; unchanged ones count
+        once.
     """
 
     def __init__(
@@ -79,7 +85,7 @@
         self._clock = clock
         self._started = clock()
         self.entry_log = EntryLog()
-        self._own: dict[str, tuple[bytes, int]] = {}
+        self._system_entries: dict[str, tuple[bytes, int]] = {}
         self._named: dict[str, list[_NamedVersion]] = {}
         self.health = StoreHealth()
         self._changed = asyncio.Event()
@@ -93,48 +99,56 @@
         self.loading_recorded_at = clock()
         self.on_system_entry: Callable[[str], None] = lambda key: None
 
-    # Freshness
+    # Age of the view and availability of the store
 
     def confirm(self, sent_at: float) -> None:
-        """The store answered a call that was sent at ``sent_at``: the view was current then."""
+        """Record that the view was current when a call that the store answered was sent."""
         self.health.confirm(sent_at)
 
     def record_failed_call(self, sent_at: float) -> None:
-        """The store did not answer a call that this node sent at ``sent_at``."""
+        """Record that a call of this node failed.
+
+        :param sent_at: when the call was sent.
+        """
         self.health.note_failed(sent_at, self._clock())
         if self.health.outage_at == sent_at:
             self._restart_deadlines(sent_at)
 
     def record_outage(self, sent_at: float) -> None:
-        """Calls fail at a node that no other can tell whether the store answers."""
+        """Record an outage of the store, without evidence from other nodes.
+
+        :param sent_at: when the last failed call was sent.
+        """
         self.health.note_outage(sent_at)
         self._restart_deadlines(sent_at)
 
     def _restart_deadlines(self, outage_at: float) -> None:
-        """Have the bounds on replaced weights begin anew that an outage interrupts.
+        """Restart the deadlines for replaced weights that had not expired when an outage began.
 
-        One that has passed before it has passed for good, whatever happens to the store later.
+        Expired deadlines stay expired.
         """
         seconds = self._bounds().weights_deadline_ms / 1000
-        for named in [named for versions in self._named.values() for named in versions]:
+        for named in [version for versions in self._named.values() for version in versions]:
             if named.named_after is not None and named.deadline_runs_from + seconds > outage_at:
                 named.deadline_runs_from = outage_at
 
     def age(self) -> float:
-        """Return the seconds since the view was last confirmed; infinite before the first."""
+        """Return the seconds since the view was last current; infinite if it never was."""
         if self.health.confirmed_at is None:
             return float("inf")
         return self._clock() - self.health.confirmed_at
 
     def drain_seconds(self) -> float:
-        """Return how long after its leaving a worker may still get new requests."""
+        """Return the seconds for which a departing worker may still receive new requests."""
         return self._bounds().worker_drain_ms / 1000
 
     def _doubtful_until(self) -> float | None:
-        """Return until when an engine whose entry vanishes now is used; ``None`` if it is gone.
+        """Return until when a worker whose entry vanishes now stays in use.
 
-        Doubt is about entries that lapsed in an outage. It also ends in time should the engine have
-        left: its leaving is acknowledged at most an instant before it is learnt.
+        Leases of live workers expire during an outage of the store. The drain time limits the
+        result in case the worker departed deliberately.
+
+        :return: a time on the node's clock; ``None`` when the worker is to be removed at once.
         """
         trouble_at = self.health.trouble_at
         if trouble_at is None:
@@ -146,10 +160,10 @@
         )
         return min(ends) if self._clock() < min(ends) else None
 
-    # Changes
+    # Updates
 
     async def changed(self) -> None:
-        """Wait for the next change of the view."""
+        """Wait until the view changes."""
         await self._changed.wait()
 
     def _notify_changed(self) -> None:
@@ -157,7 +171,10 @@
         self._changed = asyncio.Event()
 
     def apply(self, key: str, value: bytes | None, revision: int) -> None:
-        """Take one change of the store; older ones than known are passed over."""
+        """Apply one change of the store; ignore changes that are not newer than the view.
+
+        :param value: ``None`` when the key was removed.
+        """
         if not self.entry_log.apply(key, value, revision):
             return
         if value is None:
@@ -167,9 +184,12 @@
         self._notify_changed()
 
     def replace_all(self, entries: dict[str, tuple[bytes, int]], listing_revision: int) -> None:
-        """Take a whole listing: what is not in it is gone as of revision ``at``.
+        """Apply a complete listing: keys that it does not contain were removed.
+
+        The listing may come from a node with an older view, so keys that changed after it stay.
 
-        It proves nothing about what has changed after that: it may come from a node that is behind.
+        :param entries: value and revision by key.
+        :param listing_revision: revision of the store at which the listing was read.
         """
         self.entry_log.begin_listing(listing_revision)
         for key in self.entry_log:
@@ -191,14 +211,14 @@
         elif isinstance(document, NamedWeights):
             self._record_named_weights(document)
         else:
-            self._own[key] = (value, revision)
+            self._system_entries[key] = (value, revision)
             self.on_system_entry(key)
 
     def _refuse(self, entry: UnusableEntry) -> None:
-        """Take a document that cannot be read.
+        """Handle a document that cannot be decoded.
 
-        It names no worker any more, so one that was known under its key gets nothing new. What
-        operators wrote last that could be read stays in force.
+        A worker whose entry is unreadable receives no new requests. Of an operator's documents,
+        the last readable version stays in force.
         """
         worker_id = self._dialect.worker_id(entry.key)
         if worker_id is not None:
@@ -219,18 +239,18 @@
     def _record_named_weights(self, named: NamedWeights) -> None:
         versions = self._named.setdefault(named.model, [])
         if not versions or named.version > versions[-1].version:
-            # Learnt now, named at any moment since the view was last known to be current.
+            # It may have been named at any time since the view was last current.
             named_after = self.health.confirmed_at
             versions.append(_NamedVersion(named.version, named_after, named_after))
 
     def _remove(self, key: str) -> None:
-        if self._own.pop(key, None) is not None:
+        if self._system_entries.pop(key, None) is not None:
             self.on_system_entry(key)
         self._refused.pop(key, None)
         worker_id = self._dialect.worker_id(key)
         if worker_id is None:
             return
-        # An entry that vanishes around an outage is no proof that its worker is gone.
+        # The lease of a live worker may have expired during an outage.
         doubtful = self.view.remove(worker_id, self._doubtful_until())
         if doubtful is not None:
             self._log_doubtful(doubtful.info)
@@ -245,22 +265,22 @@
         )
 
     def expire_workers(self) -> None:
-        """Drop workers that did not come back in time, and do what else is due in the view."""
+        """Apply all expirations: backoffs, rate limits, doubtful workers and deferred entries."""
         self.notices.tell_ended()
         self.limits.expire(self.workers)
         if self.view.expire():
             self._notify_changed()
 
-    # Reading
+    # Entries that wheelslip itself writes
 
     def system_entry(self, key: str) -> tuple[bytes, int] | None:
-        """Return value and revision of one of the system's own keys."""
-        return self._own.get(key)
+        """Return value and revision of a key that wheelslip itself writes."""
+        return self._system_entries.get(key)
 
     def system_record(self, key: str, record_type: type[RecordT]) -> RecordT | None:
-        """Return the record under one of the system's own keys.
+        """Return the record under a key that wheelslip itself writes.
 
-        ``None`` where there is none, or where it cannot be read; that is logged.
+        :return: ``None`` when the key does not exist or its value is invalid, which is logged.
         """
         entry = self.system_entry(key)
         if entry is None:
@@ -272,27 +292,31 @@
             return None
 
     def system_entries(self, prefix: str) -> dict[str, bytes]:
-        """Return the system's own keys that begin with a prefix."""
-        return {key: value for key, (value, _) in self._own.items() if key.startswith(prefix)}
+        """Return the values that wheelslip itself writes under a prefix, by key."""
+        return {
+            key: value for key, (value, _) in self._system_entries.items() if key.startswith(prefix)
+        }
+
+    # Workers
 
     @property
     def workers(self) -> dict[Incarnation, Worker]:
-        """The workers that are known, by incarnation."""
+        """The workers of the view, by incarnation."""
         return self.view.workers
 
     def workers_of(self, service: str) -> list[Worker]:
-        """Return the workers of a service that take new requests."""
+        """Return the workers of a service that accept new requests."""
         return self.view.in_use(service)
 
     def accepts_requests(self, incarnation: Incarnation) -> bool:
-        """Return whether a worker still takes new requests."""
+        """Return whether a worker accepts new requests."""
         worker = self.workers.get(incarnation)
         return worker is not None and self.view.accepts_requests(worker)
 
     def may_begin(self, incarnation: Incarnation, rate_limit_charged: bool) -> bool:
-        """Return whether a request of this node may begin at a worker at this moment.
+        """Return whether a request of this node may be sent to a worker now.
 
-        :param rate_limit_charged: it was counted for the limit that the worker names, if there is one.
+        :param rate_limit_charged: whether the request was charged to the worker's rate limit.
         """
         if not rate_limit_charged and self.limits.rate(incarnation) is not None:
             return False
@@ -300,11 +324,11 @@
 
     @property
     def limits(self) -> NamedLimits:
-        """The rate limits that workers name."""
+        """The rate limits that workers have reported."""
         return self.notices.limits
 
     def has_limited_worker(self, service: str) -> bool:
-        """Return whether a worker of a service names a limit."""
+        """Return whether any worker of a service has a rate limit."""
         limited = self.limits.limited_starts()
         return any(
             incarnation in self.workers and self.workers[incarnation].info.service == service
@@ -312,31 +336,34 @@
         )
 
     def withheld(self, service: str) -> frozenset[Incarnation]:
-        """Return the workers of a service that have told this node to send them nothing now."""
+        """Return the workers of a service that have asked this node to send no requests now."""
         return self.notices.withheld(
             worker.info.id for worker in self.workers.values() if worker.info.service == service
         )
 
     def earliest_backoff_end(self, service: str) -> float | None:
-        """Return when the first of the workers in use that rest returns; ``None`` if none rests."""
+        """Return when the first backoff among the workers in use ends; ``None`` without any."""
         in_use = [worker.info.id for worker in self.workers_of(service)]
         backing_off = self.notices.withheld(in_use)
         return min(map(self.notices.rest_until, backing_off), default=None)
 
     def mark_replaced(self, incarnation: Incarnation) -> None:
-        """Another process answered at a worker's address."""
+        """Record that another process answered at a worker's address."""
         if self.view.mark_replaced(incarnation):
             self._notify_changed()
 
     def accepts_orders(self, worker: Worker) -> bool:
-        """Whether a worker is worth an order: of a declared service, serving, not in doubt."""
+        """Return whether to send control orders to a worker.
+
+        It must belong to a configured service, serve requests and not be doubtful.
+        """
         declared = self.configuration.services if self.configuration is not None else {}
         return worker.info.service in declared and self.view.accepts_orders(worker)
 
     # Weights
 
     def loading_workers(self) -> frozenset[Incarnation]:
-        """Return the workers that load; a record that has not changed for long is void."""
+        """Return the incarnations that load weights, by the latest record unless it is too old."""
         if self._clock() - self.loading_recorded_at > LOADING_RECORD_TTL_SECONDS:
             return frozenset()
         return self.loading
@@ -346,18 +373,22 @@
         loading: frozenset[Incarnation],
         weights: dict[Incarnation, dict[str, int]],
     ) -> None:
-        """Take what the holder of the rollout tells: who loads, and versions it has seen."""
+        """Apply a record of the rollout's lease holder.
+
+        :param loading: incarnations that load weights.
+        :param weights: weights versions that the holder observed, by incarnation and model.
+        """
         self.loading = loading
         self.loading_recorded_at = self._clock()
         self.view.merge_weights(weights)
 
     def record_weights(self, incarnation: Incarnation, model: str, version: int) -> None:
-        """A worker said itself which version it has; its word goes before its entry."""
+        """Record a weights version that a worker reported; it overrides the worker's entry."""
         if self.view.record_weights(incarnation, model, version):
             self._notify_changed()
 
     def models(self) -> list[str]:
-        """Return the models for which weights have been named."""
+        """Return the models for which a weights version has been named."""
         return list(self._named)
 
     def newest_weights(self, model: str) -> int | None:
@@ -366,17 +397,20 @@
         return versions[-1].version if versions else None
 
     def pending_since(self, model: str, version: int) -> float | None:
-        """Return when the first version above ``version`` was seen named."""
+        """Return the earliest time at which a version above ``version`` can have been named.
+
+        :return: the start of this node when its first view contained that version; ``None`` when
+            no such version has been named.
+        """
         for named in self._named.get(model, ()):
             if named.version > version:
                 return self._started if named.named_after is None else named.named_after
         return None
 
     def start_deadline(self, model: str, version: int) -> float:
-        """Return until when a request may begin on a version; infinite for the newest.
+        """Return until when a request may start on a weights version; infinite for the newest.
 
-        The bound counts a stretch without disruption, so it begins anew after an outage of the
-        store that interrupts it.
+        An outage of the store that begins before the deadline restarts it.
         """
         for named in self._named.get(model, ()):
             if named.version > version:
@@ -384,9 +418,9 @@
         return float("inf")
 
     def _deadline_after(self, named: _NamedVersion) -> float:
-        """Return until when requests may begin on weights that ``named`` has replaced."""
+        """Return until when requests may start on weights that ``named`` has replaced."""
         if named.named_after is None:
-            # Perhaps named long ago: a node is not judged until the contact time after the start
-            # of its process, which came before its first look at the clock.
+            # The version may be old, so the node gets no more than the contact time since the
+            # start of its process, which began before the first reading of the clock.
             return self._started - MAX_PROCESS_START_SECONDS + self._bounds().contact_ms / 1000
         return named.deadline_runs_from + self._bounds().weights_deadline_ms / 1000
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -1,7 +1,7 @@
-"""Keeps the registry view current: from the store, or from a relay.
+"""Synchronization of the registry view with the store, directly or through a relay.
 
-Reading the store is one listing, then watches from its revision on. A relay is polled from
-the same revision, so a node changes between the two without a gap.
+The store is read by one listing and then by watches from its revision on. A relay is polled from
+the same revision, so a node can switch between the two without missing a change.
 """
 
 import asyncio
@@ -19,69 +19,63 @@
 from wheelslip.routing.load_table import LoadAtWorker, LoadTable
 
 WATCH_TIMEOUT_SECONDS = 0.6
-"""A watch returns at least this often, so that the age of the view is known: a view counts as
-confirmed when the watch was sent, so it is up to twice as old, and two polls older at the
-nodes that do not read the store themselves."""
+"""Longest wait of a watch. The view counts as current as of the time at which the watch was sent,
+so this limits its age."""
 
 COALESCE_SECONDS = 0.12
-"""Pause after changes, so that those which follow closely come with one call."""
+"""Pause after changes, so that one call returns those that follow closely."""
 
 PROBE_WAIT_SECONDS = 0.02
-"""Wait of a watch that only asks whether the store answers, and what has changed."""
+"""Longest wait of a watch that probes whether the store is available."""
 
 OUTAGE_FAILURES = 2
-"""So many failed calls in a row are logged as trouble, and are an outage to a node that no other
-can tell better. A single one is not: connections are reset and watches cut while the store is
-well."""
+"""Consecutive failed calls that are logged as unavailability of the store. A node without peers
+takes them for an outage. Single calls also fail by connection resets."""
 
 STALL_SECONDS = 0.7
-"""A call that fails while this process stood still for so long says nothing of the store: a shorter
-pause fails no call that was answered in time (the grace of a watch). Without this, an engine that
-left while its node stood still for 2.5 s was held in doubt in 4 of 4 runs, with it in none."""
+"""Stall of the event loop from which a failed call is not attributed to the store. Shorter stalls
+are within the timeout margin of a watch."""
 
 PEER_POLLS = (1, 3)
-"""Range of how many peers are asked after a failed call, one after the other: they look at the
-store as soon as they hear of the failure, within 0.2 s."""
+"""Range of the number of consecutive peer polls after a failed call."""
 
 PEER_POLLS_TIMEOUT_SECONDS = 1.0
-"""All asking of peers after one failed call, however many are silent: this node may be the only one in
-trouble, and its next call is answered. With 1.0 s for each of three it knew of no worker that left for
-3.9 s."""
+"""Timeout of all peer polls after one failed call, so that unresponsive peers do not delay the next
+call to the store."""
 
 PEER_POLL_PAUSE_SECONDS = (0.05, 0.15)
-"""Range of the pause after each; random, so that many nodes do not call together."""
+"""Range of the random pause after each peer poll, which spreads the calls of many nodes."""
 
 RELAY_RETRY_SECONDS = (0.8, 1.6)
-"""Range of the time for which a silent relay is not asked again."""
+"""Range of the backoff before an unresponsive relay is polled again."""
 
 STALE_SECONDS = 2.2
-"""A relay whose view is older is out of touch: the store is asked itself, now and then. Without
-trouble a view is younger: 1.2 s at the reader, and two waits of a poll more at each of two relays."""
+"""Age of the view from which a follower probes the store itself. Views stay younger than this while
+the store and the relays are available."""
 
 PROBE_MARGIN_SECONDS = 0.35
-"""The store is asked so long before a worker that left may get nothing more, counted from the age of the
-view: for the look itself and what follows it. Longer ones would have views without trouble looked after
-where that time is 2 s."""
+"""Time reserved for a probe before the drain time of a worker that may have departed since the view
+was current."""
 
 RELAY_STALE_SECONDS = 1.8
-"""The same for a relay, on which the nodes of its zone depend."""
+"""Age of the view from which a relay reads the store itself, since its zone depends on it."""
 
 _RELAY_SOURCE = ""
-"""Source of loads that a relay told."""
+"""Source under which loads reported by the relay are recorded."""
 
 PROBE_INTERVAL_SECONDS = (0.7, 1.4)
-"""Range of the pause between such looks."""
+"""Range of the interval between probes of the store by a follower."""
 
 
 class RegistrySync:
-    """The task that owns all reading of the store.
-
-    :param relay: the key of the zone's relay; ``None`` where nodes do not reach each other.
-    :param peer_addresses: returns where other nodes may answer polls, for a start beside a
-        store that is silent.
-    :param address: where this node answers polls, for those whom it polls.
-    :param table: takes what other nodes have at workers.
-    :param own_loads: returns what this node has there.
+    """Task that reads the store, or polls a relay, and updates the view.
+
+    :param relay: lease of the zone's relay; ``None`` for a node without peers.
+    :param peer_addresses: returns the addresses of nodes that may answer polls while the store
+        is unavailable.
+    :param address: address at which this node answers polls, sent with its own polls.
+    :param table: records the loads of other nodes at workers.
+    :param own_loads: returns the loads of this node at workers.
     """
 
     def __init__(
@@ -115,7 +109,7 @@
         self._next_probe_at = float("-inf")
 
     async def run(self) -> None:
-        """Follow the store for ever."""
+        """Keep the view current until cancelled."""
         while True:
             address = self._relay_to_follow()
             if address is None:
@@ -124,7 +118,7 @@
                 await self._follow(address)
             self._registry.expire_workers()
 
-    # The store itself
+    # Reading the store
 
     async def _read_store(self, wait_seconds: float = WATCH_TIMEOUT_SECONDS) -> None:
         self._log_source(None)
@@ -144,8 +138,8 @@
                 await self._apply_changes(batch)
             self._registry.confirm(sent_at)
         except WatchCompacted:
-            # What is in force stays in force until a new listing has been read. The store has
-            # answered: lost history is no outage, and engines leave beside it as at other times.
+            # The store answered, so compacted history is no outage. The view stays in force until
+            # a new listing has been read.
             self._record_answer(sent_at)
             self._revision = None
         except KeyValueError as exc:
@@ -172,7 +166,7 @@
         self._registry.entry_log.revision = max(self._registry.entry_log.revision, self._revision)
 
     def _record_answer(self, sent_at: float) -> None:
-        """The store has answered; to be called before the answer's changes are taken."""
+        """Record that the store answered; call this before the answer's changes are applied."""
         if self._failures >= OUTAGE_FAILURES:
             log_event(LogEvent.KEY_VALUE_REGAINED)
         self._failures = 0
@@ -187,7 +181,7 @@
             seconds = round(self._clock() - sent_at, 3)
             log_event(LogEvent.KEY_VALUE_UNAVAILABLE, reason=str(error), seconds=seconds)
 
-    # Other nodes
+    # Following a relay and polling peers
 
     def _relay_to_follow(self) -> str | None:
         if self._relay is None or self._revision is None:
@@ -200,8 +194,7 @@
         self._log_source(address)
         poll = asyncio.create_task(self._poll(address))
         try:
-            # A relay that falls silent says nothing of its view: a worker that had left got work for
-            # 2.2 s where the age was looked at only between two polls.
+            # The view also becomes stale during the poll of an unresponsive relay.
             while not await self._poll_finished(poll):
                 await self._probe_store()
             poll.result()
@@ -212,37 +205,37 @@
         finally:
             poll.cancel()
         if self._is_relay() and self._registry.age() > RELAY_STALE_SECONDS:
-            # Its whole zone depends on it: it reads the store until the other is current.
+            # Read the store until the followed relay is current again.
             self._relay_backoff_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
             await self._read_store(PROBE_WAIT_SECONDS)
         elif self._seconds_until_probe() <= 0:
             await self._probe_store()
 
     async def _poll_finished(self, poll: asyncio.Task) -> bool:
-        """Wait for a poll to end; return ``False`` where a look at the store is due before."""
-        # One that is answered at once tells as much as a look.
+        """Wait for a poll to end; return ``False`` when a probe of the store is due before."""
+        # A poll that is answered within the wait of a probe makes the probe unnecessary.
         seconds = max(PROBE_WAIT_SECONDS, self._seconds_until_probe())
         done, _ = await asyncio.wait({poll}, timeout=seconds)
         return bool(done)
 
     async def _probe_store(self) -> None:
-        """Ask the store whether it answers, and what has changed."""
+        """Check whether the store answers, and apply its changes."""
         self._next_probe_at = self._clock() + self._random.uniform(*PROBE_INTERVAL_SECONDS)
         await self._read_store(PROBE_WAIT_SECONDS)
 
     def _seconds_until_probe(self) -> float:
-        """Return how long it is until the store is to be asked whether it answers.
+        """Return the seconds until the next probe of the store is due.
 
-        A node whose relay fails looks itself: it learns what the relay cannot tell, and the relay
-        learns from it that the trouble is its own.
+        A node also probes the store when the calls of its relay fail. The relay polls its peers
+        and sees by the age of their views whether only its own calls fail.
         """
         until_stale = 0.0 if self._source_failing else self._stale_age() - self._registry.age()
         return max(until_stale, self._next_probe_at - self._clock())
 
     def _stale_age(self) -> float:
-        """Return the age of a view from which the store is asked.
+        """Return the age of the view from which the store is probed.
 
-        A worker that left just after the view was current may get nothing once its drain time is over.
+        The drain time limits it: a worker may have departed just after the view was current.
         """
         return min(STALE_SECONDS, self._registry.drain_seconds() - PROBE_MARGIN_SECONDS)
 
@@ -250,12 +243,11 @@
         return self._relay is not None and self._relay.token() is not None
 
     async def _poll(self, address: str) -> None:
-        """Poll the node that is followed, and exchange loads with it.
+        """Poll the followed node and exchange loads with it.
 
-        :raises FeedLost: when it does not tell.
+        :raises FeedLost: when it does not answer.
         """
-        # Relays tell each other the loads of their zones by datagrams; a poll would count
-        # them twice.
+        # Relays exchange the loads of their zones by datagrams; polls would count them twice.
         if self._is_relay():
             await self._poll_view(self._feed, address)
             return
@@ -269,10 +261,10 @@
         own_address: str = "",
         loads: Sequence[LoadAtWorker] = (),
     ) -> FeedBatch:
-        """Learn what another node knows of the store.
+        """Apply the changes in another node's view and return its answer.
 
-        :param client: has one poll under way at a time.
-        :raises FeedLost: when it does not tell.
+        :param client: client without a poll in flight.
+        :raises FeedLost: when the node does not answer.
         """
         sent_at = self._clock()
         saved = self._table.saved
@@ -294,10 +286,10 @@
         self._registry.confirm(sent_at + batch.confirmed)
 
     async def _poll_peers(self) -> None:
-        """Learn from any other nodes while the store does not answer.
+        """Poll random peers while the store does not answer.
 
-        Loads are not exchanged with them: they come from and go to the followed node, and would
-        be passed round and added up again.
+        Loads are exchanged with the followed node alone; otherwise they would be counted more than
+        once.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(PEER_POLLS_TIMEOUT_SECONDS):
--- a/src/wheelslip/forwarding/worker_view.py
+++ b/src/wheelslip/forwarding/worker_view.py
@@ -1,8 +1,8 @@
-"""The workers of one node's view: which start of each is in use, and what was learned of it.
+"""The workers of one node's view, at most one incarnation of each.
 
-All that a node holds of a worker belongs to one start of it and ends with that: a worker that
-starts again under its id holds nothing of before. Entries come in the order of the store's
-revisions; the judgement of outages stands in :mod:`wheelslip.forwarding.store_health`.
+All state of a worker belongs to one incarnation and is discarded with it. Entries are applied in
+the order of the store's revisions. Outages of the store are detected in
+:mod:`wheelslip.forwarding.store_health`.
 """
 
 from collections.abc import Callable
@@ -14,29 +14,29 @@
 from wheelslip.routing.worker_notices import WorkerNotices
 
 DEFERRAL_HEARTBEATS = 3
-"""A start writes its entry each heartbeat. An entry of an older start, or of one that had left, that
-has stood for so many is no late one: its worker lives, and its clock was set back between two starts,
-it was cut off from the store for a while, or it thought better of leaving."""
+"""Heartbeats after which a deferred entry is applied unless another entry has replaced it. The
+incarnation is alive then: the worker's clock was set back before it started, it was disconnected
+from the store, or it cancelled its departure."""
 
 MAX_DEPARTED_WORKERS = 4096
-"""Workers of which it is remembered which start left last, the newest; some times the workers of the
-largest deployment planned for (850)."""
+"""Number of workers whose newest departed incarnation is recorded."""
 
 
 class _DeferredEntry(NamedTuple):
-    """An entry that may have been written long ago, and when it is taken after all."""
+    """An entry that may be stale, and the time at which it is applied nevertheless."""
 
     info: WorkerInfo
     apply_at: float
 
 
 class WorkerView:
-    """Keeps one start of each worker.
+    """The current incarnation of each worker.
 
+    :param bounds: returns the bounds in force.
     :param clock: steady clock in seconds.
-    :param notices: what workers said of themselves; it outlives their entries.
-    :ivar workers: by incarnation.
-    :ivar on_removed: called with each incarnation that is no longer there.
+    :param notices: what workers reported in their answers; kept independently of their entries.
+    :ivar workers: workers by incarnation.
+    :ivar on_removed: called with each incarnation that is removed.
     """
 
     def __init__(
@@ -55,14 +55,14 @@
         self.on_removed: Callable[[Incarnation], None] = lambda incarnation: None
 
     def by_id(self, worker_id: str) -> Worker | None:
-        """Return the start of a worker that is current, ``None`` when none is."""
+        """Return the current incarnation of a worker; ``None`` when it is not in the view."""
         incarnation = self._current.get(worker_id)
         return self.workers.get(incarnation) if incarnation is not None else None
 
-    # Changes
+    # Entries of the store
 
     def apply(self, info: WorkerInfo) -> None:
-        """Take an entry."""
+        """Apply a worker's entry, or defer it if it may be stale."""
         deferred = self._deferred.pop(info.worker_id, None)
         current = self.by_id(info.worker_id)
         if self._may_be_stale(info, current):
@@ -78,10 +78,9 @@
             self._record_departure(info)
 
     def _may_be_stale(self, info: WorkerInfo, current: Worker | None) -> bool:
-        """Whether an entry may have been written before others that came earlier.
+        """Return whether an entry may have been written before entries already applied.
 
-        One that allows requests at a start that has left was used for 1.2 s, until the later start's
-        own entry came (3 late requests at one of 6 nodes, randomised runs of processes).
+        Applied at once, a late write of a departed incarnation would put it back into use.
         """
         if current is not None and info.born < current.info.born:
             return True
@@ -95,7 +94,11 @@
         return info.state is WorkerState.READY and departed is not None and info.born <= departed
 
     def _defer(self, info: WorkerInfo, deferred: _DeferredEntry | None) -> None:
-        """Keep an entry until it has stood for so long that its start lives."""
+        """Defer an entry until it has lasted as long as only a live incarnation's does.
+
+        :param deferred: the worker's previous deferred entry; one of the same incarnation keeps
+            its time.
+        """
         wait = DEFERRAL_HEARTBEATS * self._bounds().heartbeat_ms / 1000
         apply_at = self._clock() + wait
         if deferred is not None and deferred.info.id == info.id:
@@ -103,7 +106,7 @@
         self._deferred[info.worker_id] = _DeferredEntry(info, apply_at)
 
     def _record_departure(self, info: WorkerInfo) -> None:
-        """Remember that a start has left, and with it all older ones of its worker."""
+        """Record that an incarnation, and with it every older one of its worker, has departed."""
         self._departed[info.worker_id] = max(
             info.born, self._departed.pop(info.worker_id, info.born)
         )
@@ -115,7 +118,7 @@
         self._current[info.worker_id] = info.id
 
     def _replace(self, current: Worker, info: WorkerInfo) -> None:
-        """Forget one start for another; connections kept to it may lead to a process that left."""
+        """Replace an incarnation, whose pooled connections may lead to a process that ended."""
         self._record_departure(current.info)
         self._forget(current.info)
         self._add(info)
@@ -131,7 +134,7 @@
             current.weights[model] = max(version, current.weights.get(model, 0))
 
     def mark_unusable(self, worker_id: str) -> None:
-        """Take an entry that names no worker: the one current is out of use until another comes."""
+        """Take a worker with an unreadable entry out of use until a valid entry arrives."""
         self._deferred.pop(worker_id, None)
         current = self.by_id(worker_id)
         if current is not None:
@@ -139,9 +142,11 @@
             current.doubtful_until = None
 
     def remove(self, worker_id: str, doubtful_until: float | None) -> Worker | None:
-        """Take the removal of an entry; return its worker if that is in doubt and not gone.
+        """Apply the removal of an entry.
 
-        :param doubtful_until: until when a worker in use is kept; ``None`` for not at all.
+        :param doubtful_until: until when a worker in use is kept as doubtful; ``None`` to remove
+            it at once.
+        :return: the worker when it is kept as doubtful.
         """
         self._deferred.pop(worker_id, None)
         current = self.by_id(worker_id)
@@ -156,20 +161,19 @@
         return current
 
     def expire(self) -> bool:
-        """Do what has become due; return whether anything changed.
+        """Remove doubtful workers whose time has expired, and apply the deferred entries due.
 
-        Workers in doubt that did not come back in time are dropped, and entries in doubt that
-        nobody has replaced are taken.
+        :return: whether anything changed.
         """
         now = self._clock()
         expired = [
-            one
-            for one in self.workers.values()
-            if one.doubtful_until is not None and one.doubtful_until <= now
+            worker
+            for worker in self.workers.values()
+            if worker.doubtful_until is not None and worker.doubtful_until <= now
         ]
         for worker in expired:
             self._drop(worker)
-        due = [one.info for one in self._deferred.values() if one.apply_at <= now]
+        due = [entry.info for entry in self._deferred.values() if entry.apply_at <= now]
         for info in due:
             del self._deferred[info.worker_id]
             self._departed.pop(info.worker_id, None)
@@ -177,7 +181,7 @@
         return bool(expired or due)
 
     def _apply_deferred(self, info: WorkerInfo) -> None:
-        """Take an entry that has stood for as long as only a live start's does."""
+        """Apply an entry whose deferral has ended, also in place of a newer incarnation."""
         current = self.by_id(info.worker_id)
         if current is None or current.info.id == info.id:
             self.apply(info)
@@ -189,22 +193,28 @@
         _log(LogEvent.ENGINE_DOWN, worker.info)
 
     def _forget(self, info: WorkerInfo) -> None:
-        """End everything that is held of one start."""
+        """Discard all state of one incarnation."""
         del self.workers[info.id]
         del self._current[info.worker_id]
         self.on_removed(info.id)
 
-    # What was learned beside the entries
+    # Observations beside the entries
 
     def mark_replaced(self, incarnation: Incarnation) -> bool:
-        """Another process answered at a worker's address; return whether it was current."""
+        """Record that another process answered at a worker's address.
+
+        :return: whether the incarnation is in the view.
+        """
         worker = self.workers.get(incarnation)
         if worker is not None:
             worker.replaced = True
         return worker is not None
 
     def record_weights(self, incarnation: Incarnation, model: str, version: int) -> bool:
-        """A worker said itself which version it has; return whether that is news."""
+        """Record the weights version that a worker reported.
+
+        :return: whether the version changed.
+        """
         worker = self.workers.get(incarnation)
         if worker is None or worker.weights.get(model) == version:
             return False
@@ -212,16 +222,16 @@
         return True
 
     def merge_weights(self, versions: dict[Incarnation, dict[str, int]]) -> None:
-        """Take versions that the holder of the rollout has seen at workers."""
+        """Merge weights versions that the rollout's lease holder observed at workers."""
         for incarnation, models in versions.items():
             worker = self.workers.get(incarnation)
             for model, version in models.items() if worker is not None else ():
                 worker.weights[model] = max(version, worker.weights.get(model, 0))
 
-    # Reading
+    # Availability
 
     def in_use(self, service: str) -> list[Worker]:
-        """Return the workers of a service that take new requests."""
+        """Return the workers of a service that accept new requests."""
         return [
             worker
             for worker in self.workers.values()
@@ -229,16 +239,16 @@
         ]
 
     def accepts_requests(self, worker: Worker) -> bool:
-        """Whether a worker takes new requests."""
+        """Return whether a worker accepts new requests."""
         until = worker.doubtful_until
         return self._is_serving(worker) and (until is None or self._clock() < until)
 
     def accepts_orders(self, worker: Worker) -> bool:
-        """Whether a worker is worth an order: it serves and is not current to be gone."""
+        """Return whether to send control orders to a worker: it serves and is not doubtful."""
         return self._is_serving(worker) and worker.doubtful_until is None
 
     def _is_serving(self, worker: Worker) -> bool:
-        # A worker's own word goes before its entry, which the store may take much later.
+        # A departure that the worker reported itself overrides its entry, which may lag behind.
         ready = worker.info.state is WorkerState.READY
         ready = ready and not self._notices.is_leaving(worker.info.id)
         return ready and not worker.replaced and not worker.unusable
