--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -260,7 +260,7 @@
         "forwarding/admission.py",
         "if self._registry.age() > oldest:",
         "if False:",
-        "forwarding/test_store.py::test_without_the_store_keys_are_refused_in_time_and_never_with_401_or_404",
+        "forwarding/test_store.py::test_keys_get_503_after_the_revocation_bound_while_the_store_is_unavailable",
     ),
     _one(
         "unknown routes refused by an old view",
@@ -268,7 +268,7 @@
         "forwarding/admission.py",
         "if self._registry.age() > UNKNOWN_AGE_SECONDS:",
         "if False:",
-        "forwarding/test_store.py::test_an_unknown_route_is_no_404_while_the_view_is_old",
+        "forwarding/test_store.py::test_unknown_route_is_answered_with_503_while_the_view_is_stale",
     ),
     _one(
         "older revisions taken",
@@ -276,7 +276,7 @@
         "forwarding/entry_log.py",
         "if revision <= self.revision_of(key):",
         "if False:",
-        "../unit/forwarding/test_registry.py::test_an_older_change_of_a_key_is_passed_over",
+        "../unit/forwarding/test_registry.py::test_older_change_of_a_key_is_ignored",
     ),
     _one(
         "vanished entries believed around trouble",
@@ -284,7 +284,7 @@
         "forwarding/worker_view.py",
         "if doubtful_until is None or not ready:",
         "if True:",
-        "forwarding/test_store.py::test_entries_that_vanish_around_an_outage_are_no_proof_of_death",
+        "forwarding/test_store.py::test_worker_whose_entry_vanishes_in_an_outage_stays_in_use",
     ),
     _one(
         "a worker's starts are one",
@@ -292,7 +292,7 @@
         "forwarding/worker_view.py",
         "elif info.id == current.info.id:",
         "elif True:",
-        "forwarding/test_restarted_worker.py::test_no_request_reaches_the_start_that_left",
+        "forwarding/test_restarted_worker.py::test_no_request_reaches_the_departed_incarnation",
     ),
     _one(
         "an entry that names no worker is passed over",
@@ -300,8 +300,7 @@
         "forwarding/registry.py",
         "self.view.mark_unusable(worker_id)",
         "pass",
-        "forwarding/test_unusable_entries.py::"
-        "test_a_worker_whose_entry_names_none_gets_no_requests_and_the_others_hold",
+        "forwarding/test_unusable_entries.py::test_worker_with_an_unusable_entry_gets_no_requests",
     ),
     _one(
         "a worker's starts are one, in random histories",
@@ -310,7 +309,7 @@
         "elif info.id == current.info.id:",
         "elif True:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "an older start's late entry is taken at once",
@@ -319,7 +318,7 @@
         "if current is not None and info.born < current.info.born:",
         "if False:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "an entry that names no worker is passed over, in random histories",
@@ -328,7 +327,7 @@
         "self.view.mark_unusable(worker_id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "connections outlive their start",
@@ -337,7 +336,7 @@
         "self.on_removed(info.id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "a listing that is behind removes what is newer",
@@ -346,7 +345,7 @@
         "if key not in entries and self.entry_log.revision_of(key) <= listing_revision:",
         "if key not in entries:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "removed keys are not remembered",
@@ -355,7 +354,7 @@
         "self._removed[key] = revision",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "removed keys that are forgotten are not told of",
@@ -364,7 +363,7 @@
         "if revision < self._complete_from:",
         "if False:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "a forgotten removal is no removal",
@@ -373,7 +372,7 @@
         "if self._is_removed(key, revision):",
         "if False:",
         "../unit/forwarding/test_entry_log.py::"
-        "test_a_removal_that_was_forgotten_is_not_undone_by_an_older_listing",
+        "test_discarded_removal_is_not_undone_by_an_older_listing",
     ),
     _one(
         "a stalled process judges the store",
@@ -391,7 +390,7 @@
         "if begin < revision < end:",
         "if False:",
         "../unit/forwarding/test_removal_before_first_view.py::"
-        "test_a_removal_before_the_first_view_of_the_node_that_is_polled_is_learnt",
+        "test_removal_before_the_first_view_of_a_polled_node_is_applied",
     ),
     _one(
         "a single node's failed calls are trouble of the store",
@@ -399,8 +398,7 @@
         "forwarding/store_health.py",
         "return self.confirmed_at is None or moment - self.confirmed_at >= seconds",
         "return True",
-        "forwarding/test_turned_away_node.py::"
-        "test_an_engine_that_leaves_is_given_up_at_once_by_all_nodes",
+        "forwarding/test_turned_away_node.py::test_departed_worker_is_removed_at_once_by_all_nodes",
     ),
     _one(
         "requests begin too late",
@@ -581,7 +579,7 @@
         "departed is not None and info.born <= departed",
         "False",
         "../unit/forwarding/test_start_that_left.py"
-        "::test_a_start_whose_entry_was_removed_does_not_come_up_by_a_late_entry",
+        "::test_late_entry_does_not_restore_a_removed_incarnation",
     ),
     _one(
         "a verdict waits for no news",
--- a/src/wheelslip/forwarding/worker_view.py
+++ b/src/wheelslip/forwarding/worker_view.py
@@ -167,9 +167,9 @@
         """
         now = self._clock()
         expired = [
-            worker
-            for worker in self.workers.values()
-            if worker.doubtful_until is not None and worker.doubtful_until <= now
+            candidate
+            for candidate in self.workers.values()
+            if candidate.doubtful_until is not None and candidate.doubtful_until <= now
         ]
         for worker in expired:
             self._drop(worker)
--- a/tests/probe/forwarding/test_outage_after_bound.py
+++ b/tests/probe/forwarding/test_outage_after_bound.py
@@ -18,7 +18,7 @@
 OUTAGE_SECONDS = 1.5
 
 
-async def test_an_outage_does_not_open_a_bound_again_that_has_passed(site):
+async def test_outage_after_the_deadline_does_not_restart_it(site):
     worker = PlatformWorker("i-1", model="m")
     site.configure()
     site.model.put("op/version/m", b'{"model_id":"m","version":1}')
--- a/tests/probe/forwarding/test_restarted_worker.py
+++ b/tests/probe/forwarding/test_restarted_worker.py
@@ -13,7 +13,7 @@
 RESTARTED_MS = 5_000
 
 
-async def test_no_request_reaches_the_start_that_left(site):
+async def test_no_request_reaches_the_departed_incarnation(site):
     site.configure()
     old = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
     await site.add_node()
--- a/tests/probe/forwarding/test_silent_store.py
+++ b/tests/probe/forwarding/test_silent_store.py
@@ -32,7 +32,7 @@
     await until(lambda: site.nodes["n1"].gauge("followers") == 2, "the others follow n1")
 
 
-async def test_a_worker_that_leaves_is_given_up_in_time_beside_a_silent_store(site):
+async def test_departing_worker_is_dropped_in_time_beside_a_silent_store(site):
     site.configure()
     await site.add_worker(PlatformWorker("i-1"), "plain")
     host, _, port = site.store.server.address.rpartition(":")
--- a/tests/probe/forwarding/test_store.py
+++ b/tests/probe/forwarding/test_store.py
@@ -14,7 +14,7 @@
     return node
 
 
-async def test_a_new_configuration_takes_effect_and_an_older_one_never(site):
+async def test_new_configuration_is_applied_and_older_one_ignored(site):
     node = await small_site(site)
     site.configure(configuration(7, routes=[PLAIN | {"path_prefix": "/new/"}]))
     await until(lambda: node.configuration_version() == 7, "version 7 in force")
@@ -26,7 +26,7 @@
     assert (await site.ask("/plain/", "r3")).status == 200
 
 
-async def test_a_revoked_key_is_refused(site):
+async def test_revoked_key_is_refused(site):
     node = await small_site(site)
     site.configure(configuration(2, keys=["key-2"]))
     await until(lambda: node.configuration_version() == 2, "version 2 in force")
@@ -34,7 +34,7 @@
     assert (await site.ask("/plain/", "r2", key="key-2")).status == 200
 
 
-async def test_history_forgotten_while_a_change_was_made(site):
+async def test_change_during_lost_history_is_applied(site):
     node = await small_site(site)
     site.store.refuse = 503
     await asyncio.sleep(0.1)
@@ -46,7 +46,7 @@
     assert (await site.ask("/plain/", "r1")).status == 401
 
 
-async def test_without_the_store_keys_are_refused_in_time_and_never_with_401_or_404(site):
+async def test_keys_get_503_after_the_revocation_bound_while_the_store_is_unavailable(site):
     node = await small_site(site, key_revocation_ms=1500)
     site.store.refuse = 503
     site.store.server.reset_all()
@@ -62,7 +62,7 @@
     assert (await site.ask("/plain/", "r4")).status == 200
 
 
-async def test_an_unknown_route_is_no_404_while_the_view_is_old(site):
+async def test_unknown_route_is_answered_with_503_while_the_view_is_stale(site):
     node = await small_site(site)
     site.store.server.silent = True
     site.store.server.reset_all()
@@ -70,7 +70,7 @@
     assert (await site.ask("/unknown/", "r1")).status == 503
 
 
-async def test_entries_that_vanish_around_an_outage_are_no_proof_of_death(site):
+async def test_worker_whose_entry_vanishes_in_an_outage_stays_in_use(site):
     node = await small_site(site, heartbeat_ms=200)
     site.store.refuse = 503
     site.store.server.reset_all()
@@ -84,7 +84,7 @@
     await until(lambda: "i-1" not in node.worker_ids(), "dropped in the end")
 
 
-async def test_an_entry_that_vanishes_in_calm_is_gone_at_once(site):
+async def test_worker_whose_entry_vanishes_without_an_outage_is_removed(site):
     node = await small_site(site)
     site.model.remove("servers/i-1")
     await until(lambda: "i-1" not in node.worker_ids(), "dropped")
@@ -92,7 +92,7 @@
     assert answer.status == 503 and "retry-after" in answer.headers
 
 
-async def test_an_unreadable_document_changes_nothing(site):
+async def test_unreadable_documents_change_nothing(site):
     node = await small_site(site)
     site.model.put("op/config", b"{not json")
     site.model.put("servers/i-9", b"[]")
--- a/tests/probe/forwarding/test_turned_away_node.py
+++ b/tests/probe/forwarding/test_turned_away_node.py
@@ -47,7 +47,7 @@
     return [one.getMessage() for one in caplog.records]
 
 
-async def test_an_engine_that_leaves_is_given_up_at_once_by_all_nodes(site, caplog):
+async def test_departed_worker_is_removed_at_once_by_all_nodes(site, caplog):
     with caplog.at_level("INFO", logger="wheelslip"):
         await relays_of(site, PlatformWorker("i-1"), "plain")
         await turn_away(site, "z1")
@@ -58,7 +58,7 @@
         assert "engine_doubtful" not in messages(caplog)
 
 
-async def test_no_request_begins_on_replaced_weights_after_the_bound(site):
+async def test_no_request_starts_on_replaced_weights_after_the_deadline(site):
     worker = PlatformWorker("i-1", model="m")
     site.model.put("op/version/m", b'{"model_id":"m","version":1}')
     await relays_of(site, worker, "engines")
--- a/tests/probe/forwarding/test_unusable_entries.py
+++ b/tests/probe/forwarding/test_unusable_entries.py
@@ -35,7 +35,7 @@
     ]
 
 
-async def test_a_worker_whose_entry_names_none_gets_no_requests_and_the_others_hold(site):
+async def test_worker_with_an_unusable_entry_gets_no_requests(site):
     site.configure()
     spoilt = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
     await site.add_worker(PlatformWorker("i-2", born=BORN), "plain")
--- a/tests/unit/forwarding/test_bound_after_outage.py
+++ b/tests/unit/forwarding/test_bound_after_outage.py
@@ -51,7 +51,7 @@
     registry.confirm(moment)
 
 
-def test_a_bound_that_has_passed_stays_passed(registry, clock):
+def test_expired_deadline_stays_expired(registry, clock):
     registry.confirm(130.0)
     fail(registry, clock, 131.0, 134.0)
     assert registry.start_deadline("m", 1) == PASSED_AT
@@ -59,14 +59,14 @@
     assert registry.start_deadline("m", 1) == PASSED_AT
 
 
-def test_an_outage_that_begins_before_the_bound_moves_it(registry, clock):
+def test_outage_before_the_deadline_restarts_it(registry, clock):
     registry.confirm(124.0)
     fail(registry, clock, 125.0, 131.0)
     regain(registry, clock, 131.5)
     assert registry.start_deadline("m", 1) == 131.0 + 8.0
 
 
-def test_outages_that_follow_each_other_within_the_bound_move_it_each_time(registry, clock):
+def test_each_outage_before_the_deadline_restarts_it(registry, clock):
     fail(registry, clock, 123.0, 125.0)
     regain(registry, clock, 125.5)
     fail(registry, clock, 129.0, 131.0)
@@ -77,9 +77,7 @@
     assert registry.start_deadline("m", 1) == 131.0 + 8.0
 
 
-def test_calls_that_fail_at_this_node_alone_leave_the_bound_as_the_outage_before_moved_it(
-    registry, clock
-):
+def test_calls_failing_at_one_node_leave_a_restarted_deadline_unchanged(registry, clock):
     fail(registry, clock, 123.0, 125.0)
     regain(registry, clock, 125.5)
     fail(registry, clock, 126.0, 127.5)
@@ -89,7 +87,7 @@
     assert registry.start_deadline("m", 1) == 125.0 + 8.0
 
 
-def test_a_version_that_is_named_after_an_outage_has_its_own_bound(registry, clock):
+def test_version_named_after_an_outage_has_its_own_deadline(registry, clock):
     fail(registry, clock, 131.0, 133.0)
     regain(registry, clock, 134.0)
     name_weights(registry, 3)
--- a/tests/unit/forwarding/test_entry_log.py
+++ b/tests/unit/forwarding/test_entry_log.py
@@ -7,7 +7,7 @@
 from wheelslip.keyvalue.model import WatchCompacted
 
 
-def test_only_the_newest_of_each_key_is_kept_and_told_in_order():
+def test_latest_change_of_each_key_is_returned_in_revision_order():
     log = EntryLog()
     assert log.apply("b", b"1", 5)
     assert log.apply("a", b"2", 7)
@@ -18,7 +18,7 @@
     assert log.changes_after(9) == []
 
 
-def test_a_removed_key_is_told_and_does_not_come_back_with_an_older_write():
+def test_removal_is_returned_and_not_undone_by_an_older_write():
     log = EntryLog()
     log.apply("a", b"1", 5)
     assert log.apply("a", None, 6)
@@ -29,7 +29,7 @@
     assert log.changes_after(5) == [EntryChange("a", b"again", 8)]
 
 
-def test_who_asks_from_before_what_is_remembered_is_told_so(monkeypatch):
+def test_changes_before_the_recorded_removals_raise_watch_compacted(monkeypatch):
     monkeypatch.setattr(entry_log, "MAX_REMOVED_KEYS", 2)
     log = EntryLog()
     for number in range(1, 6):
@@ -40,7 +40,7 @@
     assert [one.key for one in log.changes_after(13)] == ["k4", "k5"]
 
 
-def test_large_values_are_passed_on_packed_and_come_out_as_they_were():
+def test_large_values_are_compressed_and_restored_unchanged():
     value = b'{"routes":[' + b'{"host":"a.example"},' * 2000 + b"]}"
     log = EntryLog()
     log.apply("op/config", value, 3)
@@ -51,7 +51,7 @@
         change._replace(value=b"garbage").decompressed()
 
 
-def test_a_removal_that_was_forgotten_is_not_undone_by_an_older_listing(monkeypatch):
+def test_discarded_removal_is_not_undone_by_an_older_listing(monkeypatch):
     """Only so many removed keys are remembered. A listing of a node that was behind, which still had
     an engine that had left long ago, put it into use again."""
     monkeypatch.setattr(entry_log, "MAX_REMOVED_KEYS", 1)
@@ -64,7 +64,7 @@
     assert log.apply("a", b"again", 9)
 
 
-def test_what_had_gone_before_the_first_view_is_not_learnt_from_a_node_that_is_behind():
+def test_key_removed_before_the_first_view_is_not_restored_by_a_stale_node():
     """The first listing did not hold the engine, which had left; a peer asked beside a store that had
     forgotten its history still had it, and it was in use again until the store answered."""
     log = EntryLog()
--- a/tests/unit/forwarding/test_registry.py
+++ b/tests/unit/forwarding/test_registry.py
@@ -25,26 +25,26 @@
     registry.apply(f"servers/{worker_id}", entry, revision)
 
 
-def test_an_older_change_of_a_key_is_passed_over(registry):
+def test_older_change_of_a_key_is_ignored(registry):
     enter(registry, "a", revision=5, state="draining")
     enter(registry, "a", revision=4)
     assert registry.workers_of("s") == []
 
 
-def test_a_removed_entry_does_not_come_back_by_an_old_change(registry):
+def test_older_change_does_not_restore_a_removed_entry(registry):
     enter(registry, "a", revision=5)
     registry.apply("servers/a", None, 6)
     enter(registry, "a", revision=5)
     assert "a" not in registry.workers
 
 
-def test_a_listing_without_a_worker_removes_it(registry):
+def test_listing_without_a_worker_removes_it(registry):
     enter(registry, "a", revision=5)
     registry.replace_all({}, listing_revision=9)
     assert "a" not in registry.workers
 
 
-def test_older_weights_may_begin_until_the_bound(registry, clock):
+def test_requests_may_start_on_replaced_weights_until_the_deadline(registry, clock):
     name_weights(registry, 1, 1)
     clock.now += 20
     registry.confirm(119.5)
@@ -58,9 +58,7 @@
     assert registry.start_deadline("m", 3) == float("inf")
 
 
-def test_a_node_that_has_just_started_takes_old_weights_only_while_it_is_not_judged(
-    registry, clock
-):
+def test_replaced_weights_expire_within_the_contact_time_after_a_start(registry, clock):
     name_weights(registry, 2, 2)
     assert (
         registry.start_deadline("m", 1)
@@ -68,7 +66,7 @@
     )
 
 
-def test_weights_are_named_late_at_a_node_that_stood_still(registry, clock):
+def test_deadline_of_a_stalled_node_runs_from_its_last_current_view(registry, clock):
     """A node that is frozen or reads nothing learns of a version seconds after it was named.
 
     Counted from the moment of learning, its bound would end those seconds after everyone's.
@@ -79,7 +77,7 @@
     assert registry.start_deadline("m", 1) == 100 + BOUNDS.weights_deadline_ms / 1000
 
 
-def test_weights_at_the_first_view_may_have_been_named_long_ago(registry, clock):
+def test_weights_in_a_late_first_view_count_from_the_node_start(registry, clock):
     """A node beside a silent store gets its first view from another node, seconds after its start."""
     clock.now += 3
     name_weights(registry, 2, 2)
@@ -89,7 +87,7 @@
     )
 
 
-def test_the_bound_begins_anew_after_trouble(registry, clock):
+def test_deadline_restarts_after_failed_calls(registry, clock):
     clock.now += 20
     registry.confirm(120.0)
     name_weights(registry, 2, 2)
@@ -132,7 +130,7 @@
     return [KeyValueUnavailable("reset")] * count
 
 
-def test_one_failed_call_is_no_trouble_of_the_store(registry, clock):
+def test_single_failed_call_is_no_outage(registry, clock):
     follow(registry, clock, [None, *failures(1), None])
     assert not doubts(registry)
 
@@ -144,12 +142,12 @@
     return "probe" in [one.info.id for one in registry.workers_of("s")]
 
 
-def test_failed_calls_in_a_row_are_trouble(registry, clock):
+def test_consecutive_failed_calls_are_an_outage(registry, clock):
     follow(registry, clock, [None, KeyValueUnavailable("a"), KeyValueUnavailable("b"), None])
     assert doubts(registry)
 
 
-def test_calls_that_fail_while_nobody_is_answered_are_trouble(registry, clock):
+def test_worker_removed_in_an_outage_stays_in_use_for_the_contact_time(registry, clock):
     follow(registry, clock, [None, *failures(3), None])
     # The listing was sent at 100 s, the last of the failed calls at 103 s.
     assert registry.health.trouble_at == 103.0
@@ -162,7 +160,7 @@
     assert "a" not in registry.workers
 
 
-def test_an_engine_that_leaves_beside_lost_history_is_given_up_at_once(registry, clock):
+def test_worker_missing_after_lost_history_is_removed_at_once(registry, clock):
     """The store answers that it has forgotten its history; that is no outage.
 
     An engine whose entry was missing in the listing read after that was held in doubt for 3.6 s,
@@ -174,7 +172,7 @@
     assert "a" not in registry.workers
 
 
-def test_doubt_ends_while_an_engine_that_left_may_still_be_used(registry, clock):
+def test_doubtful_worker_is_not_used_after_the_drain_time(registry, clock):
     """Whatever was taken for an outage: doubt alone never keeps an engine past the drain time."""
     enter(registry, "a", revision=5)
     registry.confirm(100.0)
@@ -185,7 +183,7 @@
     assert registry.workers_of("s") == []
 
 
-def test_a_short_trouble_of_a_node_puts_no_bound_off(registry, clock):
+def test_short_series_of_failed_calls_does_not_restart_the_deadline(registry, clock):
     """Others may have been answered meanwhile, and tell it a moment later."""
     registry.confirm(120.0)
     clock.now = 120.1
@@ -195,7 +193,7 @@
     assert registry.start_deadline("m", 1) == 120 + BOUNDS.weights_deadline_ms / 1000
 
 
-def test_replaced_weights_are_given_up_in_time_by_a_process_that_was_slow_to_start(registry):
+def test_replaced_weights_expire_in_time_after_a_slow_process_start(registry):
     """A node is judged from the start of its process, and looks at its clock only when it is loaded.
 
     Beside other work a process took up to 1.9 s until it listened, and its requests began on version 1
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -62,14 +62,14 @@
     return node
 
 
-def test_a_removal_before_the_first_view_of_the_node_that_is_polled_is_learnt(follower):
+def test_removal_before_the_first_view_of_a_polled_node_is_applied(follower):
     started = Node()
     started.read_all(7, "i-2")
     follower.poll(started)
     assert follower.in_use() == ["i-2"]
 
 
-def test_a_removal_between_two_listings_of_the_node_that_is_polled_is_learnt(follower):
+def test_removal_between_two_listings_of_a_polled_node_is_applied(follower):
     """What was entered after its first listing and removed before its second it never knew."""
     reader = Node()
     reader.read_all(3, "i-2")
@@ -78,7 +78,7 @@
     assert follower.in_use() == ["i-2"]
 
 
-def test_a_node_that_polls_from_before_a_gap_gets_changes_alone(follower):
+def test_poll_from_a_revision_before_a_gap_returns_only_changes(follower):
     """The reader lists anew whenever history is lost; a whole listing for all its followers each time
     would hold up its link."""
     reader = Node()
--- a/tests/unit/forwarding/test_reset_connections.py
+++ b/tests/unit/forwarding/test_reset_connections.py
@@ -83,22 +83,22 @@
     return registry
 
 
-def test_a_call_that_fails_after_a_pause_without_calls_is_no_outage():
+def test_failed_call_after_a_pause_without_calls_is_no_outage():
     # The listing takes so long that the view is 2.06 s old when the next call is sent.
     registry = read([(2.06, True), (0.035, False), (0.6, True)])
     assert registry.health.outage_at is None
 
 
-def test_connections_that_are_reset_twice_after_such_a_pause_are_no_outage():
+def test_two_resets_after_a_pause_without_calls_are_no_outage():
     registry = read([(2.06, True), (0.035, False), (0.45, False), (0.6, True)])
     assert registry.health.outage_at is None
 
 
-def test_a_store_that_refuses_all_calls_for_some_seconds_has_an_outage():
+def test_calls_refused_for_seconds_are_an_outage():
     registry = read([(0.6, True), *[(0.4, False)] * 8, (0.6, True)])
     assert registry.health.outage_at == pytest.approx(103.4)
 
 
-def test_a_store_that_answers_no_call_for_some_seconds_has_an_outage():
+def test_calls_unanswered_for_seconds_are_an_outage():
     registry = read([(0.6, True), (2.1, False), (2.1, False), (0.6, True)])
     assert registry.health.outage_at == pytest.approx(102.7)
--- a/tests/unit/forwarding/test_start_that_left.py
+++ b/tests/unit/forwarding/test_start_that_left.py
@@ -23,7 +23,7 @@
     return [one.info.born for one in registry.workers_of("s")]
 
 
-def test_a_start_whose_entry_was_removed_does_not_come_up_by_a_late_entry(registry, clock):
+def test_late_entry_does_not_restore_a_removed_incarnation(registry, clock):
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", None, 2)
     registry.apply("servers/a", entry(), 3)
@@ -33,21 +33,21 @@
     assert used(registry) == [BORN + 5]
 
 
-def test_a_start_that_drains_is_not_ready_again_by_a_late_entry(registry):
+def test_late_entry_does_not_restore_a_draining_incarnation(registry):
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", entry(state="draining"), 2)
     registry.apply("servers/a", entry(), 3)
     assert used(registry) == []
 
 
-def test_a_start_that_drained_before_this_node_knew_it_is_the_same(registry):
+def test_late_entry_does_not_restore_an_incarnation_first_seen_draining(registry):
     registry.apply("servers/a", entry(state="draining"), 1)
     registry.apply("servers/a", None, 2)
     registry.apply("servers/a", entry(), 3)
     assert used(registry) == []
 
 
-def test_a_start_that_was_replaced_does_not_come_up_once_the_later_one_has_gone(registry):
+def test_replaced_incarnation_is_not_restored_after_the_newer_one_is_removed(registry):
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", entry(BORN + 5), 2)
     registry.apply("servers/a", None, 3)
@@ -55,14 +55,14 @@
     assert used(registry) == []
 
 
-def test_an_older_start_that_this_node_never_saw_does_not_come_up_either(registry):
+def test_unseen_older_incarnation_is_not_added_after_a_removal(registry):
     registry.apply("servers/a", entry(BORN + 5), 1)
     registry.apply("servers/a", None, 2)
     registry.apply("servers/a", entry(), 3)
     assert used(registry) == []
 
 
-def test_a_start_that_lives_on_beside_a_newer_one_that_left_is_used_on(registry, clock):
+def test_older_incarnation_is_used_after_the_deferral(registry, clock):
     registry.apply("servers/a", entry(BORN + 5), 1)
     registry.apply("servers/a", entry(), 2)
     clock.now += WAIT_SECONDS
@@ -71,7 +71,7 @@
     assert used(registry) == [BORN]
 
 
-def test_a_start_whose_entry_stands_on_lives(registry, clock):
+def test_returned_incarnation_is_used_after_the_deferral(registry, clock):
     """It was cut off from the store for a while, or thought better of leaving."""
     for revision, state in ((1, "ready"), (2, "draining"), (3, "ready")):
         registry.apply("servers/a", entry(state=state), revision)
@@ -86,7 +86,7 @@
     assert used(registry) == [BORN]
 
 
-def test_an_entry_that_lapsed_in_an_outage_is_used_as_soon_as_it_is_back(registry, clock):
+def test_entry_expired_in_an_outage_is_used_as_soon_as_it_returns(registry, clock):
     registry.apply("servers/a", entry(), 1)
     registry.confirm(clock.now)
     registry.record_outage(clock.now)
--- a/tests/unit/forwarding/test_store_outage.py
+++ b/tests/unit/forwarding/test_store_outage.py
@@ -102,7 +102,7 @@
     return KeyValueUnavailable("refused")
 
 
-def test_an_outage_is_not_forgotten_when_another_node_is_answered_first_after_it(registry, clock):
+def test_outage_remains_recorded_when_the_store_answers_a_peer_first(registry, clock):
     """The store is down for all from 100.2 to 104.0, and entries lapse meanwhile.
 
     This node's last call is refused at 103.95. While it asks a peer, the store returns and answers
@@ -125,7 +125,7 @@
     assert serving(registry) == ["a"]
 
 
-def test_an_outage_stays_known_to_a_node_that_hears_of_its_end_from_its_relay(registry, clock):
+def test_outage_remains_recorded_when_the_relay_reports_its_end(registry, clock):
     """A follower looked once during an outage, and was current again by its relay.
 
     It had no call of its own answered, so a single reset call later counts to the same series,
@@ -140,7 +140,7 @@
     assert registry.health.trouble_at == 102.6
 
 
-def test_an_outage_that_one_call_outlasts_is_noticed(registry, clock):
+def test_outage_during_a_single_call_is_detected(registry, clock):
     """The store is silent for four seconds, and the reader's one watch is answered after that."""
     enter(registry, "a", 5)
     registry.confirm(100.0)
@@ -154,7 +154,7 @@
     assert serving(registry) == ["a"]
 
 
-def test_trouble_is_taken_back_by_news_that_another_was_answered_just_before(registry, clock):
+def test_outage_is_revoked_when_a_peer_was_answered_just_before(registry, clock):
     """The peer that was asked first knew nothing; the next tells that it was answered at 102.8.
 
     Then the store answers this node again, so no failed call follows that would take it back.
@@ -168,7 +168,7 @@
     assert registry.health.trouble_at is None
 
 
-def test_a_relay_that_the_store_turns_away_in_silence_has_its_followers_look(registry, clock):
+def test_followers_probe_the_store_when_their_relay_gets_no_answer(registry, clock):
     """Its watch fails after 2.1 s without a sign, and so does each after it."""
     registry.confirm(100.0)
     feed = TimedFeed(clock, (0.1, FeedBatch(5, False, [], -0.2, None)))
@@ -183,7 +183,7 @@
     assert follower._seconds_until_probe() <= 0
 
 
-def test_a_peer_that_is_behind_removes_nothing_that_is_newer_than_its_view(registry, clock):
+def test_stale_peer_does_not_remove_newer_entries(registry, clock):
     """History is lost, the listing fails, and the peer that is asked has an older view.
 
     What was entered after that view is not gone.
@@ -199,7 +199,7 @@
     assert sorted(serving(registry)) == ["a", "b"]
 
 
-def test_a_peer_that_is_asked_gives_and_takes_no_loads(registry, clock):
+def test_loads_are_not_exchanged_with_polled_peers(registry, clock):
     """What a peer tells are sums of others' loads, this node's perhaps among them.
 
     Two nodes that asked each other five times counted one request at an engine as ten.
--- a/tests/unit/forwarding/test_view_histories.py
+++ b/tests/unit/forwarding/test_view_histories.py
@@ -232,7 +232,7 @@
 @pytest.mark.parametrize("gone_remembered", [1, entry_log.MAX_REMOVED_KEYS])
 @given(steps=STEPS)
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow(gone_remembered, steps):
+def test_nodes_send_only_what_the_newest_received_entry_allows(gone_remembered, steps):
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(entry_log, "MAX_REMOVED_KEYS", gone_remembered)
         history = History()
