--- a/tests/probe/forwarding/test_outage_after_bound.py
+++ b/tests/probe/forwarding/test_outage_after_bound.py
@@ -1,11 +1,4 @@
-"""The store goes down for all after the bound on replaced weights has passed.
-
-Engines that crash come back with the weights that they had. On a deployment where requests may
-begin on replaced weights for 8 s, all engines came back after 14 s, just as an outage of the
-store ended that had begun when the bound had long passed. Each node let the bound begin anew at its
-last failed call, and 43 to 59 requests in each of three plays began on the old weights up to
-20.3 s after newer ones had been named.
-"""
+"""An outage of the store after the deadline for replaced weights must not restart the deadline."""
 
 import asyncio
 import time
@@ -25,11 +18,11 @@
     await site.add_worker(worker, "engines")
     node = await site.add_node(weights_deadline_ms=WEIGHTS_DEADLINE_MS)
     await site.ready()
-    # Unknown to the worker, which refuses to load it and goes on with version 1.
+    # The worker refuses to load this unknown version and keeps version 1.
     site.model.put("op/version/m", b'{"model_id":"m","version":2}')
-    bound_at = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
+    deadline = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
     assert (await site.ask("/stream/x", "early", **PROMPT)).status == 200
-    await asyncio.sleep(bound_at - time.monotonic())
+    await asyncio.sleep(deadline - time.monotonic())
     site.store.refuse = 503
     site.store.server.reset_all()
     await asyncio.sleep(OUTAGE_SECONDS)
@@ -39,4 +32,4 @@
         answer = await site.ask("/stream/x", f"late-{number}", **PROMPT)
         assert answer.status == 503
         await asyncio.sleep(0.2)
-    assert [one.request_id for one in worker.runs] == ["early"]
+    assert [run.request_id for run in worker.runs] == ["early"]
--- a/tests/probe/forwarding/test_silent_store.py
+++ b/tests/probe/forwarding/test_silent_store.py
@@ -1,9 +1,6 @@
-"""The store is silent to the node that reads it for all, and serves the others.
+"""The store does not answer the node that reads it for all others, but answers those.
 
-A call that gets no answer at all hangs for seconds, and its news is old by the time it has failed:
-the followers look at the store once and then trust the reader's view again until it is 2.2 s old,
-which is longer than a worker may still be given requests after it has left. In a randomised run
-two requests reached a worker 2.03 s and 2.10 s after its leaving, through a node in touch.
+Followers must not rely on the reader's stale view for longer than the drain time of a worker.
 """
 
 import asyncio
@@ -14,8 +11,8 @@
 from standins.platform_worker import PlatformWorker
 
 DRAIN_SECONDS = 2.0
-PROBE_WAIT_SECONDS = 0.05
-"""Such a look at the store is over after this."""
+PROBE_SECONDS = 0.05
+"""Time in which a follower's probe of the store is complete."""
 
 NODES = ("n1", "n2", "n3")
 
@@ -45,14 +42,14 @@
         await asyncio.sleep(1.0)
         link.fault = Fault.BLACKHOLE
         site.store.calls.clear()
-        # Calls of n1 do not get here. The worker leaves just after both others have looked.
-        await until(lambda: site.store.calls.count(("GET", "/kv-watch")) >= 2, "both have looked")
-        await asyncio.sleep(PROBE_WAIT_SECONDS)
-        left_at = time.monotonic()
+        # The store does not receive the calls of n1. The worker departs after the others' probes.
+        await until(lambda: site.store.calls.count(("GET", "/kv-watch")) >= 2, "both have probed")
+        await asyncio.sleep(PROBE_SECONDS)
+        departed_at = time.monotonic()
         site.model.remove("servers/i-1")
         for name in NODES[1:]:
             node = site.nodes[name]
-            await until(lambda node=node: not node.worker_ids(), f"{name} gives it up")
-        assert time.monotonic() - left_at < DRAIN_SECONDS
+            await until(lambda node=node: not node.worker_ids(), f"{name} removes it")
+        assert time.monotonic() - departed_at < DRAIN_SECONDS
     finally:
         link.stop()
--- a/tests/probe/forwarding/test_store.py
+++ b/tests/probe/forwarding/test_store.py
@@ -1,4 +1,4 @@
-"""The view of the store: changes, outages, lost history, keys that cannot be confirmed."""
+"""Changes of the store, outages, lost history and API keys that cannot be confirmed."""
 
 import asyncio
 
@@ -50,7 +50,7 @@
     node = await small_site(site, key_revocation_ms=1500)
     site.store.refuse = 503
     site.store.server.reset_all()
-    await until(lambda: not node.is_ready(), "not ready")
+    await until(lambda: not node.is_ready(), "node not ready")
     await asyncio.sleep(1.5)
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 503 and "retry-after" in answer.headers
@@ -58,7 +58,7 @@
     assert (await site.ask("/unknown/", "r3")).status in (404, 503)
     assert site.runs("r1") == []
     site.store.refuse = 0
-    await until(node.is_ready, "ready again")
+    await until(node.is_ready, "node ready again")
     assert (await site.ask("/plain/", "r4")).status == 200
 
 
@@ -66,7 +66,7 @@
     node = await small_site(site)
     site.store.server.silent = True
     site.store.server.reset_all()
-    await until(lambda: node.view_age() > 2.1, "view is old")
+    await until(lambda: node.view_age() > 2.1, "view is stale")
     assert (await site.ask("/unknown/", "r1")).status == 503
 
 
@@ -77,17 +77,17 @@
     await asyncio.sleep(0.5)
     site.model.remove("servers/i-1")
     site.store.refuse = 0
-    await until(lambda: node.view_age() < 0.3, "store is back")
+    await until(lambda: node.view_age() < 0.3, "store is read again")
     assert "i-1" in node.worker_ids()
     assert (await site.ask("/plain/", "r1")).status == 200
-    # It stays away although the store is well: then it is gone.
-    await until(lambda: "i-1" not in node.worker_ids(), "dropped in the end")
+    # The entry does not return although the store is available again.
+    await until(lambda: "i-1" not in node.worker_ids(), "worker removed")
 
 
 async def test_worker_whose_entry_vanishes_without_an_outage_is_removed(site):
     node = await small_site(site)
     site.model.remove("servers/i-1")
-    await until(lambda: "i-1" not in node.worker_ids(), "dropped")
+    await until(lambda: "i-1" not in node.worker_ids(), "worker removed")
     answer = await site.ask("/plain/", "r1")
     assert answer.status == 503 and "retry-after" in answer.headers
 
--- a/tests/probe/forwarding/test_turned_away_node.py
+++ b/tests/probe/forwarding/test_turned_away_node.py
@@ -1,17 +1,6 @@
-"""One node cannot read the store while the store serves all others.
+"""One node cannot reach the store while the store serves all others.
 
-An engine's entry was removed, which is how an engine leaves that does not say so first, and every
-node learnt of it within 6 ms. All of them kept sending requests to it for 3.7 s more, where 2 s
-are allowed. They took the store to have had trouble just before, and an entry that vanishes around
-an outage is no proof that its engine is gone. But there had been no outage: one node could not
-reach the store, told so with its answers to polls, and every node that polled it made that
-trouble its own. Only one node had written ``key_value_unavailable``, and all of them wrote::
-
-    17.8124 edge-vake-hall-2 engine_doubtful engine=i-7ef7af6b10 trouble_age=1.339
-    17.8127 edge-isani-hall-1 engine_doubtful engine=i-7ef7af6b10 trouble_age=1.340
-
-The bound on replaced weights began anew by the same mark: requests began on version 1 up to 16 s
-after version 2 had been named, where 8 s are allowed.
+Other nodes must not take this for an outage, which would delay removals and extend deadlines.
 """
 
 import asyncio
@@ -26,7 +15,7 @@
 WEIGHTS_DEADLINE_MS = 4000
 
 
-async def relays_of(site: Site, worker: PlatformWorker, service: str) -> None:
+async def start_relays(site: Site, worker: PlatformWorker, service: str) -> None:
     """Start a relay in each zone; ``z1`` reads the store for the others."""
     site.configure()
     await site.add_worker(worker, service)
@@ -35,8 +24,8 @@
     await until(lambda: first.gauge("followers") == 2, "the others follow z1")
 
 
-async def turn_away(site: Site, name: str) -> None:
-    """Cut one node from the store; return when the others read the store without it."""
+async def cut_off(site: Site, name: str) -> None:
+    """Disconnect one node from the store, and wait until another node reads the store."""
     site.cut_from_store(name)
     site.store.server.reset_all()
     site.store.calls.clear()
@@ -44,35 +33,35 @@
 
 
 def messages(caplog) -> list[str]:
-    return [one.getMessage() for one in caplog.records]
+    return [record.getMessage() for record in caplog.records]
 
 
 async def test_departed_worker_is_removed_at_once_by_all_nodes(site, caplog):
     with caplog.at_level("INFO", logger="wheelslip"):
-        await relays_of(site, PlatformWorker("i-1"), "plain")
-        await turn_away(site, "z1")
+        await start_relays(site, PlatformWorker("i-1"), "plain")
+        await cut_off(site, "z1")
         site.model.remove("servers/i-1")
         for zone in ZONES:
             node = site.nodes[zone]
-            await until(lambda node=node: not node.worker_ids(), f"{zone} gives it up")
+            await until(lambda node=node: not node.worker_ids(), f"{zone} removes it")
         assert "engine_doubtful" not in messages(caplog)
 
 
 async def test_no_request_starts_on_replaced_weights_after_the_deadline(site):
     worker = PlatformWorker("i-1", model="m")
     site.model.put("op/version/m", b'{"model_id":"m","version":1}')
-    await relays_of(site, worker, "engines")
-    # A version seen named within a second of a node's start may have been named long before.
+    await start_relays(site, worker, "engines")
+    # Version 2 must be named after each node's first view.
     await asyncio.sleep(1.2)
-    # Unknown to the worker, which refuses to load it and goes on with version 1.
+    # The worker refuses to load this unknown version and keeps version 1.
     site.model.put("op/version/m", b'{"model_id":"m","version":2}')
-    bound_at = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
+    deadline = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
     answers = [await site.ask("/stream/x", f"early-{zone}", zone, **PROMPT) for zone in ZONES]
-    assert [one.status for one in answers] == [200] * 3
-    await turn_away(site, "z1")
-    await asyncio.sleep(bound_at - time.monotonic())
+    assert [answer.status for answer in answers] == [200] * 3
+    await cut_off(site, "z1")
+    await asyncio.sleep(deadline - time.monotonic())
     for round_number in range(4):
         for zone in ZONES:
             await site.ask("/stream/x", f"late-{round_number}-{zone}", zone, **PROMPT)
         await asyncio.sleep(0.3)
-    assert [(one.request_id, one.version) for one in worker.runs[3:]] == []
+    assert [(run.request_id, run.version) for run in worker.runs[3:]] == []
--- a/tests/probe/forwarding/test_unusable_entries.py
+++ b/tests/probe/forwarding/test_unusable_entries.py
@@ -1,9 +1,4 @@
-"""The newest entry of a worker is one that names no worker: another writer's, or spoiled.
-
-The node passed such an entry over and went on with the one before, for as long as the worker's key
-held it, or read a missing state as ``ready``. So requests reached a worker whose entry in the store
-said for any length of time that there was none: of the nine entries below, eight left it in use.
-"""
+"""A worker whose latest entry is invalid must not stay in use by its previous entry."""
 
 import json
 
@@ -12,8 +7,8 @@
 BORN = 1_764_700_000_000
 
 
-def spoiled(worker: PlatformWorker) -> list[bytes]:
-    """Return entries under a worker's key that name no worker."""
+def invalid_entries(worker: PlatformWorker) -> list[bytes]:
+    """Return invalid entries for a worker's key."""
     entry = json.loads(worker.entry("plain", "z1"))
 
     def without(field: str) -> bytes:
@@ -37,21 +32,21 @@
 
 async def test_worker_with_an_unusable_entry_gets_no_requests(site):
     site.configure()
-    spoilt = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
+    affected = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
     await site.add_worker(PlatformWorker("i-2", born=BORN), "plain")
     node = await site.add_node()
     await site.ready()
     used, version = [], 1
-    for entry in spoiled(spoilt):
+    for entry in invalid_entries(affected):
         site.model.put("servers/i-1", entry)
         await site.until_current(version + 1)
-        arrived = len(spoilt.arrivals)
+        arrivals_before = len(affected.arrivals)
         answers = [await site.ask("/safe/x", f"spoilt-{version}-{number}") for number in range(4)]
-        assert [one.status for one in answers] == [200] * 4
-        if len(spoilt.arrivals) > arrived or node.accepts_new_requests("i-1"):
+        assert [answer.status for answer in answers] == [200] * 4
+        if len(affected.arrivals) > arrivals_before or node.accepts_new_requests("i-1"):
             used.append(entry[:80])
-        site.enter(spoilt, "plain")
+        site.enter(affected, "plain")
         await site.until_current(version + 2)
-        assert node.accepts_new_requests("i-1"), "a whole entry puts it into use again"
+        assert node.accepts_new_requests("i-1"), "a valid entry puts it into use again"
         version += 2
     assert used == []
--- a/tests/unit/forwarding/conftest.py
+++ b/tests/unit/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""A clock that is told the time, and a node's view that runs on it."""
+"""Fixtures: a manual clock and a registry view that uses it."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """A steady clock, in seconds."""
+    """A steady clock in seconds that tests advance."""
 
     def __init__(self):
         self.now = 100.0
--- a/tests/unit/forwarding/test_entry_log.py
+++ b/tests/unit/forwarding/test_entry_log.py
@@ -1,4 +1,4 @@
-"""What a node keeps of the store, so that it can pass it on."""
+"""The log of the store's entries and removals that a node passes on."""
 
 import pytest
 
@@ -37,7 +37,7 @@
         log.apply(f"k{number}", None, 10 + number)
     with pytest.raises(WatchCompacted):
         log.changes_after(12)
-    assert [one.key for one in log.changes_after(13)] == ["k4", "k5"]
+    assert [change.key for change in log.changes_after(13)] == ["k4", "k5"]
 
 
 def test_large_values_are_compressed_and_restored_unchanged():
@@ -52,8 +52,7 @@
 
 
 def test_discarded_removal_is_not_undone_by_an_older_listing(monkeypatch):
-    """Only so many removed keys are remembered. A listing of a node that was behind, which still had
-    an engine that had left long ago, put it into use again."""
+    """Otherwise a stale listing would put a departed worker back into use."""
     monkeypatch.setattr(entry_log, "MAX_REMOVED_KEYS", 1)
     log = EntryLog()
     log.apply("a", b"1", 5)
@@ -65,8 +64,7 @@
 
 
 def test_key_removed_before_the_first_view_is_not_restored_by_a_stale_node():
-    """The first listing did not hold the engine, which had left; a peer asked beside a store that had
-    forgotten its history still had it, and it was in use again until the store answered."""
+    """Otherwise a stale peer would put a worker back into use that the first listing lacked."""
     log = EntryLog()
     log.apply("b", b"1", 7)
     log.revision = 9
--- a/tests/unit/forwarding/test_registry.py
+++ b/tests/unit/forwarding/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry view: order of changes, trouble, and the weights that a request may begin on."""
+"""The registry view: order of changes, outages, and deadlines for replaced weights."""
 
 import asyncio
 import json
@@ -52,9 +52,9 @@
     clock.now += 3
     registry.confirm(122.5)
     name_weights(registry, 3, 3)
-    bound = BOUNDS.weights_deadline_ms / 1000
-    assert registry.start_deadline("m", 1) == 119.5 + bound
-    assert registry.start_deadline("m", 2) == 122.5 + bound
+    allowed_seconds = BOUNDS.weights_deadline_ms / 1000
+    assert registry.start_deadline("m", 1) == 119.5 + allowed_seconds
+    assert registry.start_deadline("m", 2) == 122.5 + allowed_seconds
     assert registry.start_deadline("m", 3) == float("inf")
 
 
@@ -67,10 +67,7 @@
 
 
 def test_deadline_of_a_stalled_node_runs_from_its_last_current_view(registry, clock):
-    """A node that is frozen or reads nothing learns of a version seconds after it was named.
-
-    Counted from the moment of learning, its bound would end those seconds after everyone's.
-    """
+    """Otherwise the deadline of a stalled node would end later than those of the other nodes."""
     registry.confirm(100.0)
     clock.now += 6
     name_weights(registry, 2, 2)
@@ -78,7 +75,7 @@
 
 
 def test_weights_in_a_late_first_view_count_from_the_node_start(registry, clock):
-    """A node beside a silent store gets its first view from another node, seconds after its start."""
+    """The node receives its first view from a peer, seconds after its start."""
     clock.now += 3
     name_weights(registry, 2, 2)
     assert (
@@ -98,7 +95,7 @@
 
 
 class ScriptedStore:
-    """Plays one outcome a call, each a second after the last, then ends the task."""
+    """A store with scripted outcomes, one second a call; after the last one it ends the task."""
 
     def __init__(self, outcomes, clock):
         self.outcomes = list(outcomes)
@@ -120,7 +117,7 @@
         return result
 
 
-def follow(registry, clock, outcomes):
+def synchronize(registry, clock, outcomes):
     sync = RegistrySync(ScriptedStore(outcomes, clock), registry, clock, random.Random(1))
     with pytest.raises(asyncio.CancelledError):
         asyncio.run(sync.run())
@@ -131,29 +128,29 @@
 
 
 def test_single_failed_call_is_no_outage(registry, clock):
-    follow(registry, clock, [None, *failures(1), None])
-    assert not doubts(registry)
+    synchronize(registry, clock, [None, *failures(1), None])
+    assert not keeps_removed_worker(registry)
 
 
-def doubts(registry) -> bool:
-    """Whether an engine whose entry vanishes now stays in use."""
+def keeps_removed_worker(registry) -> bool:
+    """Return whether a worker whose entry vanishes now stays in use."""
     enter(registry, "probe", revision=1000)
     registry.apply("servers/probe", None, 1001)
-    return "probe" in [one.info.id for one in registry.workers_of("s")]
+    return "probe" in [worker.info.id for worker in registry.workers_of("s")]
 
 
 def test_consecutive_failed_calls_are_an_outage(registry, clock):
-    follow(registry, clock, [None, KeyValueUnavailable("a"), KeyValueUnavailable("b"), None])
-    assert doubts(registry)
+    synchronize(registry, clock, [None, KeyValueUnavailable("a"), KeyValueUnavailable("b"), None])
+    assert keeps_removed_worker(registry)
 
 
 def test_worker_removed_in_an_outage_stays_in_use_for_the_contact_time(registry, clock):
-    follow(registry, clock, [None, *failures(3), None])
-    # The listing was sent at 100 s, the last of the failed calls at 103 s.
+    synchronize(registry, clock, [None, *failures(3), None])
+    # The listing is sent at 100 s, the last failed call at 103 s.
     assert registry.health.trouble_at == 103.0
     enter(registry, "a", revision=5)
     registry.apply("servers/a", None, 6)
-    assert [one.info.id for one in registry.workers_of("s")] == ["a"]
+    assert [worker.info.id for worker in registry.workers_of("s")] == ["a"]
     clock.now = 103.0 + BOUNDS.contact_ms / 1000
     assert registry.workers_of("s") == []
     registry.expire_workers()
@@ -161,19 +158,15 @@
 
 
 def test_worker_missing_after_lost_history_is_removed_at_once(registry, clock):
-    """The store answers that it has forgotten its history; that is no outage.
-
-    An engine whose entry was missing in the listing read after that was held in doubt for 3.6 s,
-    where 2 s are allowed, though no call had failed: ``engine_doubtful trouble_age=0.011``.
-    """
+    """A store that has compacted its history answers, so there is no outage."""
     enter(registry, "a", revision=1)
-    follow(registry, clock, [WatchCompacted("gone"), None])
-    assert not doubts(registry)
+    synchronize(registry, clock, [WatchCompacted("gone"), None])
+    assert not keeps_removed_worker(registry)
     assert "a" not in registry.workers
 
 
 def test_doubtful_worker_is_not_used_after_the_drain_time(registry, clock):
-    """Whatever was taken for an outage: doubt alone never keeps an engine past the drain time."""
+    """The worker may have departed although calls failed."""
     enter(registry, "a", revision=5)
     registry.confirm(100.0)
     clock.now = 104.0
@@ -184,7 +177,7 @@
 
 
 def test_short_series_of_failed_calls_does_not_restart_the_deadline(registry, clock):
-    """Others may have been answered meanwhile, and tell it a moment later."""
+    """The store may have answered other nodes meanwhile."""
     registry.confirm(120.0)
     clock.now = 120.1
     name_weights(registry, 2, 2)
@@ -194,11 +187,7 @@
 
 
 def test_replaced_weights_expire_in_time_after_a_slow_process_start(registry):
-    """A node is judged from the start of its process, and looks at its clock only when it is loaded.
-
-    Beside other work a process took up to 1.9 s until it listened, and its requests began on version 1
-    until 3.3 s after its start, 6.9 s after the bound, where 3.0 s from the start are allowed.
-    """
+    """The deadline counts from the start of the process, before it first reads its clock."""
     name_weights(registry, 2, 2)
     slowest_start = 1.9
     allowed_until = 100.0 - slowest_start + BOUNDS.contact_ms / 1000
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -1,12 +1,6 @@
-"""A node that has just started tells others what has changed since a revision before its first view.
-
-An engine left by removal while a follower could not read the store. The follower asked a peer that
-had started after the removal and listed the store without the engine: among the changes since the
-follower's revision the peer named no removal, for it had never known the engine. The follower took
-itself for current from then on, and went on giving the engine requests for good, since no later
-answer ever names that removal. A random history showed it in 12 steps: start, leave, a listing by
-one node, a poll of it by the other; the engine's entry was still in use at revision 4 where the node was
-current to revision 5, at which it had gone.
+"""Removals before a node's first view must reach the followers that poll it.
+
+Otherwise the follower would send requests to a removed worker indefinitely.
 """
 
 import asyncio
@@ -28,12 +22,12 @@
 
 
 def clock() -> float:
-    """Return a time that goes on, so that an answer without changes is not waited for."""
+    """Return an advancing time, so that a poll without changes is answered at once."""
     return 100.0 + 0.05 * next(_ticks)
 
 
 class Node:
-    """A view, its reader and what answers polls from it."""
+    """A view, its synchronization and its feed server."""
 
     def __init__(self):
         self.registry = Registry(PlatformRegistry(), BoundsSection, clock)
@@ -41,8 +35,8 @@
         self.server = FeedServer(self.registry, LoadTable(), list, clock)
 
     def read_all(self, revision: int, *workers: str) -> None:
-        """Read the whole store; its entries are all of revision 1."""
-        entries = tuple(KeyValue(f"servers/{one}", worker_entry(), 1) for one in workers)
+        """Apply a complete listing whose entries are all of revision 1."""
+        entries = tuple(KeyValue(f"servers/{worker}", worker_entry(), 1) for worker in workers)
         self.sync._apply_listing(RangeResult(revision, entries))
         self.registry.confirm(clock())
 
@@ -52,7 +46,7 @@
         return batch
 
     def in_use(self) -> list[str]:
-        return sorted(one.info.id for one in self.registry.workers_of("s"))
+        return sorted(worker.info.id for worker in self.registry.workers_of("s"))
 
 
 @pytest.fixture
@@ -70,7 +64,7 @@
 
 
 def test_removal_between_two_listings_of_a_polled_node_is_applied(follower):
-    """What was entered after its first listing and removed before its second it never knew."""
+    """The polled node never saw an entry that was added and removed between its listings."""
     reader = Node()
     reader.read_all(3, "i-2")
     reader.read_all(7, "i-2")
@@ -79,8 +73,7 @@
 
 
 def test_poll_from_a_revision_before_a_gap_returns_only_changes(follower):
-    """The reader lists anew whenever history is lost; a whole listing for all its followers each time
-    would hold up its link."""
+    """Complete listings for all followers after each lost history would load the reader's link."""
     reader = Node()
     reader.read_all(6, "i-1", "i-2")
     follower.poll(reader)
--- a/tests/unit/forwarding/test_store_outage.py
+++ b/tests/unit/forwarding/test_store_outage.py
@@ -1,10 +1,6 @@
-"""What a node that reads the store makes of failed calls, of late answers and of other nodes' news.
+"""Detection of store outages from failed calls, late answers and the views of peers.
 
-An outage of the store lets entries of live engines lapse, which are back within two seconds of its end. A
-node that judged the end of an outage by another node's first answer, or waited through it with one call,
-gave all live engines up at that moment: all of nine nodes did so 0.02 s after 2.5 s of silence.
-Another that was left without an answer told nobody until its call had failed for good, and
-its followers learnt 2.2 s later that an engine had left, where 2 s are allowed.
+Entries of live workers expire during an outage, so workers must stay in use for some time after it.
 """
 
 import asyncio
@@ -27,7 +23,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pauses(monkeypatch):
+def one_peer_poll_without_pauses(monkeypatch):
     monkeypatch.setattr(registry_sync, "PEER_POLLS", (1, 1))
     monkeypatch.setattr(registry_sync, "PEER_POLL_PAUSE_SECONDS", (0.0, 0.0))
     monkeypatch.setattr(registry_sync, "COALESCE_SECONDS", 0.0)
@@ -42,11 +38,11 @@
 
 
 def serving(registry):
-    return [one.info.id for one in registry.workers_of("s")]
+    return [worker.info.id for worker in registry.workers_of("s")]
 
 
 class FirstRelay:
-    """The key of the node that reads the store for all."""
+    """Relay lease of the node that reads the store for all others."""
 
     def token(self):
         return 1
@@ -56,7 +52,7 @@
 
 
 class TimedStore:
-    """Each call takes so many seconds, then fails or answers."""
+    """A store whose calls take the given seconds, then fail or return a result."""
 
     def __init__(self, clock, *outcomes):
         self.clock = clock
@@ -77,7 +73,7 @@
 
 
 class TimedFeed:
-    """Each poll takes so many seconds, then brings a batch."""
+    """A feed client whose polls take the given seconds, then return a batch."""
 
     def __init__(self, clock, *answers):
         self.clock = clock
@@ -98,39 +94,33 @@
     return sync
 
 
-def refused():
+def refusal():
     return KeyValueUnavailable("refused")
 
 
 def test_outage_remains_recorded_when_the_store_answers_a_peer_first(registry, clock):
-    """The store is down for all from 100.2 to 104.0, and entries lapse meanwhile.
+    """The store is unavailable from 100.2 to 104.0 and then first answers the polled peer.
 
-    This node's last call is refused at 103.95. While it asks a peer, the store returns and answers
-    that peer. That is no proof that the store served others during the outage, so the engine whose
-    entry lapsed has the time to return that an outage gives.
+    That answer does not show that the store served other nodes during the outage.
     """
     enter(registry, "a", 5)
     registry.confirm(100.0)
-    removed = [EntryChange("servers/a", None, 9)]
+    removal = [EntryChange("servers/a", None, 9)]
     stale = FeedBatch(5, False, [], -2.0, 0.5)
-    back = FeedBatch(9, False, removed, 0.1, None)
-    store = TimedStore(clock, (0.0, refused()), (0.0, refused()))
-    sync = reader(registry, clock, store, TimedFeed(clock, (0.1, stale), (0.2, back)))
+    current = FeedBatch(9, False, removal, 0.1, None)
+    store = TimedStore(clock, (0.0, refusal()), (0.0, refusal()))
+    sync = reader(registry, clock, store, TimedFeed(clock, (0.1, stale), (0.2, current)))
     clock.now = 103.5
     asyncio.run(sync._read_store())
     clock.now = 103.95
     asyncio.run(sync._read_store())
     registry.expire_workers()
-    # 0.15 s after the store's return; its engines are back within two seconds of that.
+    # 0.15 s after the end of the outage; live workers renew their entries within two seconds.
     assert serving(registry) == ["a"]
 
 
 def test_outage_remains_recorded_when_the_relay_reports_its_end(registry, clock):
-    """A follower looked once during an outage, and was current again by its relay.
-
-    It had no call of its own answered, so a single reset call later counts to the same series,
-    and takes the outage back.
-    """
+    """A single failed call after the relay's answer must not revoke the recorded outage."""
     registry.confirm(100.0)
     clock.now = 104.1
     registry.record_failed_call(102.6)
@@ -141,11 +131,11 @@
 
 
 def test_outage_during_a_single_call_is_detected(registry, clock):
-    """The store is silent for four seconds, and the reader's one watch is answered after that."""
+    """The store does not answer for four seconds and then answers the pending watch."""
     enter(registry, "a", 5)
     registry.confirm(100.0)
     clock.now = 100.6
-    store = TimedStore(clock, (2.1, refused()), (1.9, WatchBatch(9, (("servers/a", None, 9),))))
+    store = TimedStore(clock, (2.1, refusal()), (1.9, WatchBatch(9, (("servers/a", None, 9),))))
     feed = TimedFeed(clock, (0.1, FeedBatch(5, False, [], -2.0, 0.5)))
     sync = reader(registry, clock, store, feed)
     asyncio.run(sync._read_store())
@@ -155,10 +145,7 @@
 
 
 def test_outage_is_revoked_when_a_peer_was_answered_just_before(registry, clock):
-    """The peer that was asked first knew nothing; the next tells that it was answered at 102.8.
-
-    Then the store answers this node again, so no failed call follows that would take it back.
-    """
+    """A peer reports that the store answered it at 102.8; then the store answers this node."""
     registry.confirm(100.0)
     clock.now = 103.0
     registry.record_failed_call(103.0)
@@ -169,10 +156,10 @@
 
 
 def test_followers_probe_the_store_when_their_relay_gets_no_answer(registry, clock):
-    """Its watch fails after 2.1 s without a sign, and so does each after it."""
+    """The relay's watch times out after 2.1 s."""
     registry.confirm(100.0)
     feed = TimedFeed(clock, (0.1, FeedBatch(5, False, [], -0.2, None)))
-    store = TimedStore(clock, (2.1, refused()))
+    store = TimedStore(clock, (2.1, refusal()))
     relay = reader(registry, clock, store, feed)
     asyncio.run(relay._read_store())
     server = FeedServer(registry, LoadTable(), list, clock)
@@ -184,15 +171,12 @@
 
 
 def test_stale_peer_does_not_remove_newer_entries(registry, clock):
-    """History is lost, the listing fails, and the peer that is asked has an older view.
-
-    What was entered after that view is not gone.
-    """
+    """History is lost, the listing fails, and the polled peer has an older view."""
     enter(registry, "a", 5)
     enter(registry, "b", 100)
     registry.confirm(100.0)
     old = FeedBatch(90, True, [EntryChange("servers/a", entry(), 5)], -1.0, None)
-    store = TimedStore(clock, (0.0, WatchCompacted("gone")), (0.0, refused()))
+    store = TimedStore(clock, (0.0, WatchCompacted("gone")), (0.0, refusal()))
     sync = reader(registry, clock, store, TimedFeed(clock, (0.1, old)))
     asyncio.run(sync._read_store())
     asyncio.run(sync._read_store())
@@ -200,20 +184,17 @@
 
 
 def test_loads_are_not_exchanged_with_polled_peers(registry, clock):
-    """What a peer tells are sums of others' loads, this node's perhaps among them.
-
-    Two nodes that asked each other five times counted one request at an engine as ten.
-    """
-    told = FeedBatch(5, False, [], -0.2, None, [LoadAtWorker("w", 1, 0)])
+    """A peer's loads are totals that may include this node's, which would count them twice."""
+    batch = FeedBatch(5, False, [], -0.2, None, [LoadAtWorker("w", 1, 0)])
     table, polls = LoadTable(), []
 
     class RecordingFeed:
         async def poll(self, address, poll):
             polls.append(poll)
-            return told
+            return batch
 
-    sync = reader(registry, clock, TimedStore(clock, (0.0, refused())), RecordingFeed())
+    sync = reader(registry, clock, TimedStore(clock, (0.0, refusal())), RecordingFeed())
     sync._table, sync._own_loads = table, lambda: [LoadAtWorker("w", 1, 0)]
     asyncio.run(sync._read_store())
-    assert [(one.address, one.loads) for one in polls] == [("", [])]
+    assert [(poll.address, poll.loads) for poll in polls] == [("", [])]
     assert table.at_worker("w", clock.now).running == 0
--- a/tests/unit/forwarding/test_view_histories.py
+++ b/tests/unit/forwarding/test_view_histories.py
@@ -1,11 +1,7 @@
-"""Random histories of workers' entries, as several nodes learn of them, break no promise.
-
-Workers start, drain, leave and start again under their ids, late entries of older starts and
-unusable ones of other writers come between; each node learns of it by its own watches and
-listings, by polls of another node, or by listings that are behind. After every single change a
-node sends nothing to a worker whose newest entry, as far as it knows, does not allow it (DRAIN), to
-no start but the newest that it knows, at that start's address (ROUTE), and believes no version of
-an older start (VERSION).
+"""Random histories of workers' entries, received by watches, listings, stale listings and polls.
+
+After every change a node must send requests only to the newest incarnation it has received, only
+as its entry allows, and use no weights version of an older incarnation.
 """
 
 import base64
@@ -29,11 +25,11 @@
 
 WORKERS = ("a", "b")
 NODES = 2
-SPOILT = (b"\xff", b"{}", b"[" * 5000, b'{"service": "s", "state": "ready"}')
+INVALID_ENTRIES = (b"\xff", b"{}", b"[" * 5000, b'{"service": "s", "state": "ready"}')
 
 
-class Start(NamedTuple):
-    """One start of a worker."""
+class WorkerIncarnation(NamedTuple):
+    """One incarnation of a worker."""
 
     born: int
     address: str
@@ -43,119 +39,122 @@
         return worker_entry("s", self.address, "z", state, 8, "m", self.version, self.born)
 
 
-class Known:
-    """What a node has been told of one worker, by an account of the test's own."""
+class ExpectedWorker:
+    """The expected state of one worker in a node's view, tracked independently of the node."""
 
     def __init__(self):
-        self.start: Start | None = None
+        self.incarnation: WorkerIncarnation | None = None
         self.state = ""
         self.usable = False
         self.versions: set[int] = set()
-        self.left = 0
+        self.departed_born = 0
 
-    def told(self, value: bytes | None, starts: dict[int, Start]) -> None:
+    def receive(self, value: bytes | None, incarnations: dict[int, WorkerIncarnation]) -> None:
+        """Update the expected state by an entry, or by its removal for ``None``."""
         document = _document(value)
         if value is None:
             self._end()
         elif document is None:
             self.usable = False
-        elif self._is_believed(document):
-            if self.start is not None and document["born"] > self.start.born:
+        elif self._is_applied(document):
+            if self.incarnation is not None and document["born"] > self.incarnation.born:
                 self._end()
-            self.start = starts[document["born"]]
+            self.incarnation = incarnations[document["born"]]
             self.state = document["state"]
             self.usable = self.state == "ready"
-            self.versions.add(self.start.version)
+            self.versions.add(self.incarnation.version)
             if not self.usable:
-                self.left = max(self.left, self.start.born)
+                self.departed_born = max(self.departed_born, self.incarnation.born)
 
     def _end(self) -> None:
-        """The start has left, and with it all older ones."""
-        self.left = max(self.left, self.start.born if self.start else 0)
-        self.start, self.state, self.usable, self.versions = None, "", False, set()
-
-    def _is_believed(self, document: dict) -> bool:
-        """An entry of a start that left, or of an older one, may have been written before that."""
+        """Record that the incarnation and all older ones have departed."""
+        self.departed_born = max(
+            self.departed_born, self.incarnation.born if self.incarnation else 0
+        )
+        self.incarnation, self.state, self.usable, self.versions = None, "", False, set()
+
+    def _is_applied(self, document: dict) -> bool:
+        """Return whether an entry is applied at once: late writes of departed ones are deferred."""
         born = document["born"]
-        if self.start is not None and (born <= self.start.born):
+        if self.incarnation is not None and (born <= self.incarnation.born):
             in_use = self.state == "ready" or document["state"] != "ready"
-            return born == self.start.born and in_use
-        return born > self.left or document["state"] != "ready"
+            return born == self.incarnation.born and in_use
+        return born > self.departed_born or document["state"] != "ready"
 
 
 def _document(value: bytes | None) -> dict | None:
-    return None if value is None or value in SPOILT else json.loads(value)
+    return None if value is None or value in INVALID_ENTRIES else json.loads(value)
 
 
 class Node(Registry):
-    """A node's view that is checked after each change it takes."""
+    """A node's view that is checked after each change."""
 
     def __init__(self, history: "History"):
         super().__init__(PlatformRegistry(), BoundsSection, lambda: 100.0)
         self.history = history
-        self.known = {worker: Known() for worker in WORKERS}
+        self.expected = {worker: ExpectedWorker() for worker in WORKERS}
         self.connected: set[str] = set()
         self.view.on_removed = self.connected.discard
         self.sync = RegistrySync(None, self, lambda: 100.0, None)
         self.server = FeedServer(self, LoadTable(), list, lambda: 100.0)
 
     def apply(self, key: str, value: bytes | None, revision: int) -> None:
-        known = self.known[key.rpartition("/")[2]]
-        known_to = self.history.told.get((id(self), key), 0)
+        expected = self.expected[key.rpartition("/")[2]]
+        received_to = self.history.received.get((id(self), key), 0)
         if key not in self.entry_log:
-            # Unknown although this node knows all keys up to a revision: it has gone by then.
-            known_to = max(known_to, self.entry_log.revision)
-        newest = revision > known_to
+            # A key that is absent from a complete log was removed by the log's revision.
+            received_to = max(received_to, self.entry_log.revision)
+        newest = revision > received_to
         super().apply(key, value, revision)
         if newest:
-            self.history.told[(id(self), key)] = revision
-            known.told(value, self.history.starts)
+            self.history.received[(id(self), key)] = revision
+            expected.receive(value, self.history.incarnations)
         self.check()
 
     def check(self) -> None:
-        sent_to = {one.info.worker_id: one for one in self.workers_of("s")}
-        self.connected |= {one.info.id for one in sent_to.values()}
-        assert self.connected <= set(self.workers), "a connection outlives its worker's start"
-        for worker_id, known in self.known.items():
-            worker = sent_to.get(worker_id)
-            assert (worker is not None) == known.usable
+        in_use = {used.info.worker_id: used for used in self.workers_of("s")}
+        self.connected |= {used.info.id for used in in_use.values()}
+        assert self.connected <= set(self.workers), "a connection outlives its incarnation"
+        for worker_id, expected in self.expected.items():
+            worker = in_use.get(worker_id)
+            assert (worker is not None) == expected.usable
             if worker is None:
                 continue
-            assert (worker.info.born, worker.info.address) == known.start[:2]
-            assert worker.weights["m"] in known.versions
+            assert (worker.info.born, worker.info.address) == expected.incarnation[:2]
+            assert worker.weights["m"] in expected.versions
 
 
 class History:
-    """The store's history, and the nodes that learn of it."""
+    """The store's history, and the nodes that receive it."""
 
     def __init__(self):
         self.store = PlatformStoreModel(lambda: 100.0)
-        self.starts: dict[int, Start] = {}
-        self.of_worker: dict[str, list[Start]] = {worker: [] for worker in WORKERS}
+        self.incarnations: dict[int, WorkerIncarnation] = {}
+        self.of_worker: dict[str, list[WorkerIncarnation]] = {worker: [] for worker in WORKERS}
         self.listings: list[tuple[int, dict[str, tuple[bytes, int]]]] = []
-        self.told: dict[tuple[int, str], int] = {}
+        self.received: dict[tuple[int, str], int] = {}
         self.changes: dict[str, list[tuple[int, bytes | None]]] = {
             f"servers/{worker}": [] for worker in WORKERS
         }
         self.nodes = [Node(self) for _ in range(NODES)]
 
     def play(self, kind: str, worker: str, first: int, second: int) -> None:
-        """Do one thing; numbers choose among what is there."""
+        """Do one step; the numbers select a node, an incarnation or a listing."""
         self.listings.append((self.store.revision, self._listing()))
         match kind:
             case "start":
-                born = len(self.starts) + 1
-                start = Start(born, f"127.0.0.1:{born}", first % 3 + 1)
-                self.starts[born] = start
-                self.of_worker[worker].append(start)
-                self._put(worker, start.entry())
+                born = len(self.incarnations) + 1
+                incarnation = WorkerIncarnation(born, f"127.0.0.1:{born}", first % 3 + 1)
+                self.incarnations[born] = incarnation
+                self.of_worker[worker].append(incarnation)
+                self._put(worker, incarnation.entry())
             case "drain" if self.of_worker[worker]:
                 self._put(worker, self.of_worker[worker][-1].entry("draining"))
             case "late" if self.of_worker[worker]:
-                starts = self.of_worker[worker]
-                self._put(worker, starts[first % len(starts)].entry())
+                incarnations = self.of_worker[worker]
+                self._put(worker, incarnations[first % len(incarnations)].entry())
             case "spoil":
-                self._put(worker, SPOILT[first % len(SPOILT)])
+                self._put(worker, INVALID_ENTRIES[first % len(INVALID_ENTRIES)])
             case "leave" if f"servers/{worker}" in self.store.items:
                 self.store.remove(f"servers/{worker}")
                 self.changes[f"servers/{worker}"].append((self.store.revision, None))
@@ -166,18 +165,18 @@
             case "list":
                 self._list(self.nodes[first % NODES])
             case "list behind" if self.listings:
-                at, entries = self.listings[-1 - second % len(self.listings)]
+                revision, entries = self.listings[-1 - second % len(self.listings)]
                 node = self.nodes[first % NODES]
-                node.replace_all(entries, at)
-                node.sync._advance(at)
+                node.replace_all(entries, revision)
+                node.sync._advance(revision)
 
     def check_complete(self) -> None:
-        """Each node knows every change up to the revision that it takes itself to be current to."""
+        """Check that each node has every change up to the revision of its log."""
         for node in self.nodes:
             for key, changes in self.changes.items():
-                done = [one for one in changes if one[0] <= node.entry_log.revision]
-                if done:
-                    self._check_key(node, key, *done[-1])
+                past = [change for change in changes if change[0] <= node.entry_log.revision]
+                if past:
+                    self._check_key(node, key, *past[-1])
 
     def _check_key(self, node: Node, key: str, revision: int, value: bytes | None) -> None:
         if value is None:
@@ -185,8 +184,10 @@
         elif key in node.entry_log:
             assert node.entry_log.revision_of(key) >= revision
         else:
-            later = [one for one in self.changes[key] if one[0] > revision and one[1] is None]
-            assert later, "a worker that nobody removed is gone"
+            later_removals = [
+                change for change in self.changes[key] if change[0] > revision and change[1] is None
+            ]
+            assert later_removals, "a worker disappeared without a removal"
 
     def _put(self, worker: str, value: bytes) -> None:
         revision = self.store.put(f"servers/{worker}", value)
@@ -206,35 +207,35 @@
         node.sync._advance(self.store.revision)
 
     def _listing(self) -> dict[str, tuple[bytes, int]]:
-        return {one.key: (one.value, one.revision) for one in self.store.items.values()}
+        return {item.key: (item.value, item.revision) for item in self.store.items.values()}
 
     def _poll(self, node: Node, other: Node) -> None:
         poll = FeedPoll(node.sync._revision)
         changes, whole = other.server._changes(poll)
         payload, _ = split_frame(encode_frame(other.server._batch(poll, changes, whole, 100.0)))
         batch = decode_payload(payload, FeedBatch)
-        changes = [one.decompressed() for one in batch.changes]
+        changes = [change.decompressed() for change in batch.changes]
         node.sync._apply_batch(batch._replace(changes=changes, confirmed=0.0), 100.0)
 
 
 KINDS = ("start", "drain", "late", "spoil", "leave", "watch", "poll", "list", "list behind")
-"""Hypothesis draws shorter lists of steps more often; what matters here takes ten and more."""
 
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(KINDS), st.sampled_from(WORKERS), st.integers(0, 40), st.integers(0, 40)
     ),
+    # Hypothesis prefers short lists, but relevant histories have ten steps and more.
     min_size=25,
     max_size=70,
 )
 
 
-@pytest.mark.parametrize("gone_remembered", [1, entry_log.MAX_REMOVED_KEYS])
+@pytest.mark.parametrize("max_removed_keys", [1, entry_log.MAX_REMOVED_KEYS])
 @given(steps=STEPS)
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_nodes_send_only_what_the_newest_received_entry_allows(gone_remembered, steps):
+def test_nodes_send_only_what_the_newest_received_entry_allows(max_removed_keys, steps):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(entry_log, "MAX_REMOVED_KEYS", gone_remembered)
+        patch.setattr(entry_log, "MAX_REMOVED_KEYS", max_removed_keys)
         history = History()
         for step in steps:
             history.play(*step)
