--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -272,7 +272,7 @@
         return self._registry.age()
 
     def is_ready(self) -> bool:
-        """Return whether this node accepts new connections."""
+        """Return whether this node is ready: configured, with a current view and not stopping."""
         max_age = READY_AGE_SHARE * self.bounds().key_revocation_ms / 1000
         has_configuration = self._registry.configuration is not None
         return has_configuration and self._registry.age() < max_age and not self._callers.stopping
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -264,7 +264,7 @@
             trouble_age=round(self._clock() - self.health.trouble_at, 3),
         )
 
-    def expire_workers(self) -> None:
+    def apply_expirations(self) -> None:
         """Apply all expirations: backoffs, rate limits, doubtful workers and deferred entries."""
         self.notices.tell_ended()
         self.limits.expire(self.workers)
@@ -324,7 +324,7 @@
 
     @property
     def limits(self) -> NamedLimits:
-        """The rate limits that workers have reported."""
+        """The rate limits that workers have announced."""
         return self.notices.limits
 
     def has_limited_worker(self, service: str) -> bool:
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -116,7 +116,7 @@
                 await self._read_store()
             else:
                 await self._follow(address)
-            self._registry.expire_workers()
+            self._registry.apply_expirations()
 
     # Reading the store
 
--- a/tests/unit/forwarding/test_registry.py
+++ b/tests/unit/forwarding/test_registry.py
@@ -153,7 +153,7 @@
     assert [worker.info.id for worker in registry.workers_of("s")] == ["a"]
     clock.now = 103.0 + BOUNDS.contact_ms / 1000
     assert registry.workers_of("s") == []
-    registry.expire_workers()
+    registry.apply_expirations()
     assert "a" not in registry.workers
 
 
--- a/tests/unit/forwarding/test_start_that_left.py
+++ b/tests/unit/forwarding/test_start_that_left.py
@@ -13,7 +13,7 @@
 
 def born_in_use(registry) -> list[int]:
     """Return the start times of the incarnations in use."""
-    registry.expire_workers()
+    registry.apply_expirations()
     return [worker.info.born for worker in registry.workers_of("s")]
 
 
--- a/tests/unit/forwarding/test_store_outage.py
+++ b/tests/unit/forwarding/test_store_outage.py
@@ -114,7 +114,7 @@
     asyncio.run(sync._read_store())
     clock.now = 103.95
     asyncio.run(sync._read_store())
-    registry.expire_workers()
+    registry.apply_expirations()
     # 0.15 s after the end of the outage; live workers renew their entries within two seconds.
     assert serving(registry) == ["a"]
 
@@ -140,7 +140,7 @@
     sync = reader(registry, clock, store, feed)
     asyncio.run(sync._read_store())
     asyncio.run(sync._read_store())
-    registry.expire_workers()
+    registry.apply_expirations()
     assert serving(registry) == ["a"]
 
 
--- a/tests/unit/forwarding/test_worker_starts.py
+++ b/tests/unit/forwarding/test_worker_starts.py
@@ -46,7 +46,7 @@
     registry.apply("servers/a", entry(NEWER), 5)
     registry.apply("servers/a", entry(BORN), 6)
     clock.now += 3 * BoundsSection().heartbeat_ms / 1000
-    registry.expire_workers()
+    registry.apply_expirations()
     (worker,) = registry.workers_of("s")
     assert worker.info.born == BORN
 
