--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -260,7 +260,7 @@
         "forwarding/admission.py",
         "if self._registry.age() > max_age:",
         "if False:",
-        "forwarding/test_store.py::test_without_the_store_keys_are_refused_in_time_and_never_with_401_or_404",
+        "forwarding/test_store.py::test_keys_get_503_after_the_revocation_bound_while_the_store_is_unavailable",
     ),
     _one(
         "unknown routes refused by an old view",
@@ -268,7 +268,7 @@
         "forwarding/admission.py",
         "if self._registry.age() > MAX_VIEW_AGE_SECONDS:",
         "if False:",
-        "forwarding/test_store.py::test_an_unknown_route_is_no_404_while_the_view_is_old",
+        "forwarding/test_store.py::test_unknown_route_is_answered_with_503_while_the_view_is_stale",
     ),
     _one(
         "older revisions taken",
@@ -276,7 +276,7 @@
         "forwarding/entry_log.py",
         "if revision <= self.revision_of(key):",
         "if False:",
-        "../unit/forwarding/test_registry.py::test_an_older_change_of_a_key_is_passed_over",
+        "../unit/forwarding/test_registry.py::test_older_change_of_a_key_is_ignored",
     ),
     _one(
         "vanished entries believed around trouble",
@@ -284,78 +284,77 @@
         "forwarding/worker_view.py",
         "if doubtful_until is None or not ready:",
         "if True:",
-        "forwarding/test_store.py::test_entries_that_vanish_around_an_outage_are_no_proof_of_death",
+        "forwarding/test_store.py::test_worker_whose_entry_vanishes_in_an_outage_stays_in_use",
     ),
     _one(
         "a worker's starts are one",
         FORWARDING,
         "forwarding/worker_view.py",
-        "elif info.id == known.info.id:",
+        "elif info.id == current.info.id:",
         "elif True:",
-        "forwarding/test_restarted_worker.py::test_no_request_reaches_the_start_that_left",
+        "forwarding/test_restarted_worker.py::test_no_request_reaches_the_departed_incarnation",
     ),
     _one(
         "an entry that names no worker is passed over",
         FORWARDING,
         "forwarding/registry.py",
-        "self.view.take_unusable(worker_id)",
+        "self.view.mark_unusable(worker_id)",
         "pass",
-        "forwarding/test_unusable_entries.py::"
-        "test_a_worker_whose_entry_names_none_gets_no_requests_and_the_others_hold",
+        "forwarding/test_unusable_entries.py::test_worker_with_an_unusable_entry_gets_no_requests",
     ),
     _one(
         "a worker's starts are one, in random histories",
         FORWARDING,
         "forwarding/worker_view.py",
-        "elif info.id == known.info.id:",
+        "elif info.id == current.info.id:",
         "elif True:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "an older start's late entry is taken at once",
         FORWARDING,
         "forwarding/worker_view.py",
-        "if known is not None and info.born < known.info.born:",
+        "if current is not None and info.born < current.info.born:",
         "if False:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "an entry that names no worker is passed over, in random histories",
         FORWARDING,
         "forwarding/registry.py",
-        "self.view.take_unusable(worker_id)",
+        "self.view.mark_unusable(worker_id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "connections outlive their start",
         FORWARDING,
         "forwarding/worker_view.py",
-        "self.on_gone(info.id)",
+        "self.on_removed(info.id)",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "a listing that is behind removes what is newer",
         FORWARDING,
         "forwarding/registry.py",
-        "if key not in entries and self.log.revision_of(key) <= at:",
+        "if key not in entries and self.entry_log.revision_of(key) <= listing_revision:",
         "if key not in entries:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "removed keys are not remembered",
         FORWARDING,
         "forwarding/entry_log.py",
-        "self._gone[key] = revision",
+        "self._removed[key] = revision",
         "pass",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "removed keys that are forgotten are not told of",
@@ -364,16 +363,16 @@
         "if revision < self._complete_from:",
         "if False:",
         "../unit/forwarding/test_view_histories.py::"
-        "test_no_node_sends_what_the_newest_entry_it_knows_does_not_allow",
+        "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
     _one(
         "a forgotten removal is no removal",
         FORWARDING,
         "forwarding/entry_log.py",
-        "if self._has_gone(key, revision):",
+        "if self._is_removed(key, revision):",
         "if False:",
         "../unit/forwarding/test_entry_log.py::"
-        "test_a_removal_that_was_forgotten_is_not_undone_by_an_older_listing",
+        "test_discarded_removal_is_not_undone_by_an_older_listing",
     ),
     _one(
         "a stalled process judges the store",
@@ -391,7 +390,7 @@
         "if begin < revision < end:",
         "if False:",
         "../unit/forwarding/test_removal_before_first_view.py::"
-        "test_a_removal_before_the_first_view_of_the_node_that_is_polled_is_learnt",
+        "test_removal_before_the_first_view_of_a_polled_node_is_applied",
     ),
     _one(
         "a single node's failed calls are trouble of the store",
@@ -399,8 +398,7 @@
         "forwarding/store_health.py",
         "return self.confirmed_at is None or moment - self.confirmed_at >= seconds",
         "return True",
-        "forwarding/test_turned_away_node.py::"
-        "test_an_engine_that_leaves_is_given_up_at_once_by_all_nodes",
+        "forwarding/test_turned_away_node.py::test_departed_worker_is_removed_at_once_by_all_nodes",
     ),
     _one(
         "requests begin too late",
@@ -515,7 +513,7 @@
         FORWARDING,
         "forwarding/forwarder.py",
         "if not self._registry.may_begin(worker.id, assignment.placement.rate_limit_charged):",
-        "if not self._registry.takes_requests(worker.id):",
+        "if not self._registry.accepts_requests(worker.id):",
         "forwarding/test_said_in_answers.py"
         "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
     ),
@@ -532,7 +530,7 @@
         "a view's age is looked at only between two polls",
         FORWARDING,
         "forwarding/registry_sync.py",
-        "while not await self._has_ended(poll):\n                await self._look()\n",
+        "while not await self._poll_finished(poll):\n                await self._probe_store()\n",
         "await asyncio.wait({poll})\n",
         "forwarding/test_reader_cut_then_silent.py"
         "::test_two_troubles_in_a_row_are_noticed_in_the_time_of_one",
@@ -541,7 +539,7 @@
         "silent peers are asked however long it takes",
         FORWARDING,
         "forwarding/registry_sync.py",
-        "async with asyncio.timeout(ASKING_SECONDS):",
+        "async with asyncio.timeout(PEER_POLLS_TIMEOUT_SECONDS):",
         "async with asyncio.timeout(None):",
         "../unit/forwarding/test_silent_peers.py"
         "::test_silent_peers_do_not_keep_a_node_from_a_store_that_answers",
@@ -576,10 +574,10 @@
         "a start that left comes up again by a late entry",
         FORWARDING,
         "forwarding/worker_view.py",
-        "left is not None and info.born <= left",
+        "departed is not None and info.born <= departed",
         "False",
         "../unit/forwarding/test_start_that_left.py"
-        "::test_a_start_whose_entry_was_removed_does_not_come_up_by_a_late_entry",
+        "::test_late_entry_does_not_restore_a_removed_incarnation",
     ),
     _one(
         "a verdict waits for no news",
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -142,7 +142,7 @@
         """
         if self._placement.weights_version is None or self.had_first_token:
             return
-        deadline = self._services.registry.begins_until(
+        deadline = self._services.registry.start_deadline(
             self._job.request.metadata.model, self._placement.weights_version
         )
         remaining = deadline - START_DEADLINE_MARGIN_SECONDS - self._services.clock()
@@ -219,7 +219,7 @@
             return
         registry.notices.heard(info, status, answer, AnswerSource.REQUEST, self._sent_at)
         if answer.weights_version is not None and model:
-            registry.note_weights(info.id, model, answer.weights_version)
+            registry.record_weights(info.id, model, answer.weights_version)
 
     def _record_outcome(self, failed: bool) -> None:
         self._assignment.record_outcome(failed)
--- a/src/wheelslip/forwarding/content_trials.py
+++ b/src/wheelslip/forwarding/content_trials.py
@@ -52,7 +52,7 @@
         """Update the expiry of a lock after its key changed in the registry view."""
         if not key.startswith(TRIALS_PREFIX):
             return
-        if self._registry.own_entry(key) is None:
+        if self._registry.system_entry(key) is None:
             self._expires_at.pop(key, None)
         else:
             self._expires_at[key] = self._clock() + LOCK_EXPIRY_SECONDS
@@ -67,7 +67,7 @@
         if now < max(self._expires_at.get(key, 0.0), self._next_try_at.get(key, 0.0)):
             return None
         self._next_try_at[key] = now + ACQUIRE_RETRY_SECONDS
-        entry = self._registry.own_entry(key)
+        entry = self._registry.system_entry(key)
         expected = {key: entry[1] if entry else 0}
         try:
             put = Put(key, self._node.encode())
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -259,7 +259,7 @@
             fails immediately, as a worker may still accept it from another node; callers are
             given successively later retry times.
         """
-        first_end = self._registry.rests_until(service)
+        first_end = self._registry.earliest_backoff_end(service)
         if first_end is None:
             return None
         now = self._clock()
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -80,10 +80,10 @@
     def workers_of(self, service: str) -> list[Worker]:
         """Return the workers of a service that accept new requests."""
 
-    def loading_now(self) -> frozenset[Incarnation]:
+    def loading_workers(self) -> frozenset[Incarnation]:
         """Return the workers that are loading weights."""
 
-    def begins_until(self, model: str, version: int) -> float:
+    def start_deadline(self, model: str, version: int) -> float:
         """Return the time until which requests may start on a version; infinite for the newest."""
 
 
@@ -190,7 +190,7 @@
     def _eligible(self, query: PlacementQuery, candidates: list[Worker]) -> list[Worker]:
         """Return the workers that may start a request for the model now."""
         deadlines = {
-            version: self._registry.begins_until(query.model, version or 0)
+            version: self._registry.start_deadline(query.model, version or 0)
             for version in {worker.weights.get(query.model) for worker in candidates}
         }
         candidates = [
@@ -198,7 +198,7 @@
             for worker in candidates
             if self._begins_before(deadlines[worker.weights.get(query.model)], worker)
         ]
-        loading = self._registry.loading_now()
+        loading = self._registry.loading_workers()
         candidates = [
             worker for worker in candidates if worker.info.id not in loading
         ] or candidates
@@ -274,7 +274,7 @@
     def _may_begin(self, worker: Worker, model: str) -> bool:
         """Return whether a request sent now starts before the deadline for the weights."""
         return self._begins_before(
-            self._registry.begins_until(model, worker.weights.get(model, 0)), worker
+            self._registry.start_deadline(model, worker.weights.get(model, 0)), worker
         )
 
     def _begins_before(self, deadline: float, worker: Worker) -> bool:
@@ -286,7 +286,7 @@
 
     def _is_outdated(self, model: str, version: int | None) -> bool:
         """Return whether a newer version of the weights has been announced."""
-        return self._registry.begins_until(model, version or 0) != math.inf
+        return self._registry.start_deadline(model, version or 0) != math.inf
 
     def _home(self, query: PlacementQuery, candidates: list[Worker]) -> Worker | None:
         """Return the rendezvous home of the shared prompt part, ``None`` without such a part."""
--- a/tests/probe/forwarding/test_dispatch.py
+++ b/tests/probe/forwarding/test_dispatch.py
@@ -50,7 +50,7 @@
     name = dispatcher_of(site)
     others = [zone for zone in ZONES if zone != name]
     # The process keeps running and holds its lease, but receives no datagrams.
-    site.nodes[name].hear_nothing()
+    site.nodes[name].stop_receiving()
     grants_before = {zone: site.nodes[zone].gauge("grants_given") for zone in others}
     number = 0
     # Each node chooses workers itself until three replies are missing, then uses the next
@@ -67,9 +67,9 @@
 async def test_node_without_dispatcher_chooses_worker_itself(site):
     await start_fleet(site)
     for zone in ("z2", "z3"):
-        site.nodes[zone].hear_nothing()
+        site.nodes[zone].stop_receiving()
     node = site.nodes["z1"]
-    node.hear_nothing()
+    node.stop_receiving()
     before = node.gauge("requests_placed_alone") + node.gauge("dispatched_requests")
     assert (await site.ask("/stream/x", "r1", "z1", **prompt("01", "a1"))).status == 200
     assert node.gauge("requests_placed_alone") + node.gauge("dispatched_requests") == before + 1
@@ -120,7 +120,7 @@
     monkeypatch.setattr(DispatchServer, "_asked", lambda *query: delayed.append(query))
     monkeypatch.setattr(DispatcherHealth, "timeout_seconds", lambda self, address: 30.0)
     await start_fleet(site, workers=1)
-    dispatcher = site.nodes["z1"].known_relays()[0]
+    dispatcher = site.nodes["z1"].relay_addresses()[0]
     sender = next(zone for zone in ZONES if site.nodes[zone].settings.node.peers != dispatcher)
     caller = await site.caller(sender)
     caller.send("/stream/x", "r1", **prompt("01", "a1"))
--- a/tests/probe/forwarding/test_failures.py
+++ b/tests/probe/forwarding/test_failures.py
@@ -161,9 +161,9 @@
     await until(lambda: True, "change written")
     runs_before = len(pair[0].runs)
     node = site.nodes["n1"]
-    await until(lambda: not node.takes_new_work("i-1"), "draining seen")
+    await until(lambda: not node.accepts_new_requests("i-1"), "draining seen")
     site.model.remove("servers/i-1")
-    await until(lambda: "i-1" not in node.known_workers(), "vanished seen")
+    await until(lambda: "i-1" not in node.worker_ids(), "vanished seen")
     for number in range(5):
         assert (await site.ask("/plain/", f"r{number}")).status == 200
     assert len(pair[0].runs) == runs_before
--- a/tests/unit/forwarding/test_content_trials.py
+++ b/tests/unit/forwarding/test_content_trials.py
@@ -43,7 +43,7 @@
 @pytest.fixture
 def locks(store, registry, clock):
     trial_locks = TrialLocks("n1", store, registry, clock)
-    registry.on_own_entry = trial_locks.entry_changed
+    registry.on_system_entry = trial_locks.entry_changed
     return trial_locks
 
 
--- a/tests/unit/forwarding/test_worker_starts.py
+++ b/tests/unit/forwarding/test_worker_starts.py
@@ -29,10 +29,10 @@
 def test_late_updates_of_older_incarnation_are_ignored(registry, clock):
     """A delayed write, a stale listing and a stale rollout record name the older incarnation."""
     registry.apply("servers/a", entry(NEWER_BORN, version=1), 5)
-    registry.replace_all({"servers/a": (entry(BORN, version=2), 4)}, at=4)
+    registry.replace_all({"servers/a": (entry(BORN, version=2), 4)}, listing_revision=4)
     registry.apply("servers/a", entry(BORN, version=2, state="draining"), 6)
-    registry.take_rollout(frozenset(), {incarnation_of("a", BORN): {"m": 2}})
-    registry.note_weights(incarnation_of("a", BORN), "m", 2)
+    registry.apply_rollout(frozenset(), {incarnation_of("a", BORN): {"m": 2}})
+    registry.record_weights(incarnation_of("a", BORN), "m", 2)
     registry.mark_replaced(incarnation_of("a", BORN))
     (worker,) = registry.workers_of("s")
     assert (worker.info.born, worker.weights) == (NEWER_BORN, {"m": 1})
@@ -43,7 +43,7 @@
     registry.apply("servers/a", entry(NEWER_BORN), 5)
     registry.apply("servers/a", entry(BORN), 6)
     clock.now += 3 * BoundsSection().heartbeat_ms / 1000
-    registry.expire_workers()
+    registry.apply_expirations()
     (worker,) = registry.workers_of("s")
     assert worker.info.born == BORN
 
@@ -69,7 +69,7 @@
     """Records created after the removal would never be deleted: a memory leak at each restart."""
     registry.apply("servers/a", entry(), 1)
     records = WorkerPlacement(registry, clock, random.Random(1))
-    registry.view.on_gone = records.forget
+    registry.view.on_removed = records.forget
     placement = Placement(registry.workers_of("s")[0])
     began_at = records.begin(placement)
     registry.apply("servers/a", entry(NEWER_BORN), 2)
@@ -106,7 +106,7 @@
         "servers/c/d": (entry(), 4),
         "servers/e": (entry(), 5),
     }
-    registry.replace_all(listing, at=9)
+    registry.replace_all(listing, listing_revision=9)
     assert sorted(worker.info.id for worker in registry.workers_of("s")) == [
         f"a/{BORN}",
         f"e/{BORN}",
@@ -119,7 +119,7 @@
     registry.apply("servers/a", entry(), 2)
     registry.apply("servers/b", worker_entry("elsewhere", model="m"), 3)
     ordered = [
-        worker.info.id for worker in registry.workers.values() if registry.takes_orders(worker)
+        worker.info.id for worker in registry.workers.values() if registry.accepts_orders(worker)
     ]
     assert ordered == [f"a/{BORN}"]
 
@@ -132,10 +132,10 @@
     registry.apply("servers/a", entry(state="draining"), 10)
     registry.apply("servers/b", b"{}", 11)
     registry.mark_replaced(incarnation_of("c", BORN))
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/d", None, 12)
     ordered = [
-        worker.info.id for worker in registry.workers.values() if registry.takes_orders(worker)
+        worker.info.id for worker in registry.workers.values() if registry.accepts_orders(worker)
     ]
     assert ordered == [f"e/{BORN}"]
 
@@ -144,7 +144,7 @@
     """Only usable workers are retained as doubtful when their entry vanishes in an outage."""
     registry.apply("servers/a", entry(), 1)
     registry.apply("servers/a", b"{}", 2)
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/a", None, 3)
     assert not registry.workers
 
@@ -152,13 +152,13 @@
 def test_removed_operator_document_stays_in_force(registry):
     registry.apply("op/config", b'{"version": 3, "services": [{"name": "s"}]}', 1)
     registry.apply("op/version/m", b'{"model_id": "m", "version": 2}', 2)
-    registry.replace_all({}, at=9)
+    registry.replace_all({}, listing_revision=9)
     assert (registry.configuration.version, registry.newest_weights("m")) == (3, 2)
 
 
 def test_new_incarnation_of_a_doubtful_worker_is_not_doubtful(registry, clock):
     registry.apply("servers/a", entry(), 1)
-    registry.note_outage(clock.now)
+    registry.record_outage(clock.now)
     registry.apply("servers/a", None, 2)
     registry.apply("servers/a", entry(NEWER_BORN), 3)
     (worker,) = registry.workers_of("s")
