--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -19,8 +19,8 @@
 from wheelslip.peers.dispatch_messages import WorkerAsk, WorkerGrant
 from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
 from wheelslip.routing.fleet_choice import FleetPlacement
-from wheelslip.routing.limit_authority import WholeAuthority
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.limit_authority import SingleNodeAuthority
+from wheelslip.routing.named_limits import WorkerRateLimits
 from wheelslip.routing.placement import PlacementQuery
 from wheelslip.routing.tenant_limits import TenantLimits
 from wheelslip.routing.worker_allowance import WorkerAllowance
@@ -76,8 +76,8 @@
     ticks = itertools.count()
     clock = lambda: next(ticks) * 1e-5  # noqa: E731
     placement = FleetPlacement(_View(workers), clock, random.Random(1))
-    limits = TenantLimits(dict, WholeAuthority(clock), clock)
-    allowance = WorkerAllowance(NamedLimits(clock), WholeAuthority(clock))
+    limits = TenantLimits(dict, SingleNodeAuthority(clock), clock)
+    allowance = WorkerAllowance(WorkerRateLimits(clock), SingleNodeAuthority(clock))
     dispatcher = Dispatcher(placement, limits, allowance, clock)
     source, running, spent = random.Random(2), [], 0.0
     for number in range(REQUESTS):
--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -234,7 +234,7 @@
         "repeats without a budget",
         FORWARDING,
         "forwarding/forwarder.py",
-        "return budget.take_repeat(self._clock())",
+        "return budget.take_retry(self._clock())",
         "return True",
         "forwarding/test_failures.py::test_repeats_stop_with_the_budget",
     ),
@@ -496,8 +496,8 @@
             ),
             Edit(
                 "routing/worker_notices.py",
-                "        if start in self._leaving:\n            return False\n        rest =",
-                "        rest =",
+                "        if incarnation in self._leaving:\n            return False\n        backoff =",
+                "        backoff =",
             ),
         ),
         "tests/probe/forwarding/test_said_in_answers.py"
@@ -525,8 +525,8 @@
         "after a rest all come at once",
         FORWARDING,
         "routing/worker_notices.py",
-        "FIRST_AFTER_REST = 1\n",
-        "FIRST_AFTER_REST = 16\n",
+        "INITIAL_CONCURRENCY = 1\n",
+        "INITIAL_CONCURRENCY = 16\n",
         "forwarding/test_said_in_answers.py"
         "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
     ),
@@ -561,18 +561,18 @@
         "after a rest the number doubles with each request served",
         FORWARDING,
         "routing/worker_notices.py",
-        "rest.most += 1\n",
-        "rest.most *= 2\n",
+        "backoff.max_in_flight += 1\n",
+        "backoff.max_in_flight *= 2\n",
         "../unit/forwarding/test_worker_notices.py"
-        "::test_the_first_requests_after_a_rest_are_few_then_twice_as_many_each_round",
+        "::test_concurrency_after_backoff_doubles_each_round",
     ),
     _one(
         "a later, shorter rest takes an earlier one back",
         FORWARDING,
         "routing/worker_notices.py",
-        "if not until > now or (known is not None and until <= known.until):",
+        "if not until > now or (current is not None and until <= current.until):",
         "if not until > now:",
-        "../unit/forwarding/test_worker_notices.py::test_the_latest_end_of_several_rests_counts",
+        "../unit/forwarding/test_worker_notices.py::test_latest_end_of_several_backoffs_applies",
     ),
     _one(
         "a start that left comes up again by a late entry",
@@ -587,10 +587,9 @@
         "a verdict waits for no news",
         FORWARDING,
         "routing/crash_ledger.py",
-        "NEWS_SECONDS = 1.0\n",
-        "NEWS_SECONDS = 0.0\n",
-        "../unit/forwarding/test_crash_ledger.py"
-        "::test_a_verdict_waits_for_the_news_of_what_else_ran_there",
+        "REPORT_WAIT_SECONDS = 1.0\n",
+        "REPORT_WAIT_SECONDS = 0.0\n",
+        "../unit/forwarding/test_crash_ledger.py::test_refusal_waits_for_reports_of_other_nodes",
     ),
     _one(
         "limits of workers are not told to other nodes",
@@ -615,16 +614,16 @@
         "if self._authority.share() <= 0.0:\n            return limited\n",
         "if self._authority.share() <= 0.0:\n            return frozenset()\n",
         "../unit/forwarding/test_worker_allowance.py"
-        "::test_no_history_of_faults_gives_a_worker_more_than_the_bound",
+        "::test_worker_rate_stays_within_bound_under_any_fault_history",
     ),
     _one(
         "an answer asked for before a limit was named ends it",
         FORWARDING,
         "routing/named_limits.py",
-        "known.rate is None or sent_at <= known.observed_at",
-        "known.rate is None",
+        "current.rate is None or sent_at <= current.observed_at",
+        "current.rate is None",
         "../unit/forwarding/test_named_limits.py"
-        "::test_an_answer_that_was_asked_for_before_the_limit_was_named_does_not_end_it",
+        "::test_response_to_request_sent_before_limit_does_not_lift_it",
     ),
     _one(
         "a node is not told of its own records",
--- a/src/wheelslip/callers/admission.py
+++ b/src/wheelslip/callers/admission.py
@@ -92,9 +92,9 @@
                 if usage.streams >= allowed:
                     _refuse(tenant, "concurrent_streams", 1.0)
             if limits.requests_per_second is not None:
-                _refuse_if(usage.requests.take(1, now), tenant, "requests_per_second")
+                _refuse_if(usage.requests.acquire(1, now), tenant, "requests_per_second")
             if limits.tokens_per_second is not None:
-                _refuse_if(usage.tokens.take(tokens, now), tenant, "tokens_per_second")
+                _refuse_if(usage.tokens.acquire(tokens, now), tenant, "tokens_per_second")
             usage.streams += 1
 
     def release(self, tenant: Tenant) -> None:
--- a/src/wheelslip/forwarding/answer_notices.py
+++ b/src/wheelslip/forwarding/answer_notices.py
@@ -5,8 +5,8 @@
 
 from wheelslip.deployment import AnswerMetadata, Incarnation, WorkerInfo, worker_id_of
 from wheelslip.events import LogEvent, log_event
-from wheelslip.routing.named_limits import LimitReport, NamedLimits
-from wheelslip.routing.worker_notices import RestTurn, WorkerNotices
+from wheelslip.routing.named_limits import LimitReport, WorkerRateLimits
+from wheelslip.routing.worker_notices import RecoverySlot, WorkerNotices
 
 TURNED_AWAY = 503
 """Only an answer with this status asks for rest; elsewhere the same header is a caller's affair."""
@@ -43,7 +43,7 @@
         super().__init__(clock)
         self._announce = announce
         self._unreadable: dict[Incarnation, None] = {}
-        self.limits = NamedLimits(clock)
+        self.limits = WorkerRateLimits(clock)
         self.report_limit: Callable[[LimitReport], None] = lambda report: None
         self.said_leaving = 0
         self.rests_begun = 0
@@ -61,13 +61,13 @@
         :param sent_at: when its request was sent, if that is known.
         """
         self._note_limit(info, status, answer, source, sent_at)
-        if answer.leaving and self.note_leaving(info.id):
+        if answer.leaving and self.record_leaving(info.id):
             self.said_leaving += 1
             _log(LogEvent.ENGINE_SAID_LEAVING, info, source=source.value)
             self._announce()
         if status != TURNED_AWAY or answer.retry_seconds is None:
             return
-        if self.note_rest(info.id, answer.retry_seconds):
+        if self.record_backoff(info.id, answer.retry_seconds):
             self.rests_begun += 1
             seconds = round(min(answer.retry_seconds, 1e6), 3)
             _log(LogEvent.ENGINE_REST_BEGAN, info, source=source.value, seconds=seconds)
@@ -85,9 +85,9 @@
         if answer.unreadable_limit:
             self._log_unreadable(info, answer.unreadable_limit)
         elif answer.rate_limit is not None:
-            report = self.limits.note_limit(info.id, answer.rate_limit)
+            report = self.limits.record_limit(info.id, answer.rate_limit)
         elif source is AnswerSource.REQUEST and status not in NOT_SERVED:
-            report = self.limits.note_no_limit(info.id, sent_at)
+            report = self.limits.record_no_limit(info.id, sent_at)
         if report is not None:
             self.report_limit(report)
         if self.limits.rate(info.id) != before:
@@ -114,7 +114,7 @@
         take = self.limits.count_report if is_counted else self.limits.merge
         if not take(report):
             return False
-        self._limit_changed(report.start, AnswerSource.PEER, report.age, reported_by=peer)
+        self._limit_changed(report.incarnation, AnswerSource.PEER, report.age, reported_by=peer)
         return True
 
     def _log_unreadable(self, info: WorkerInfo, value: str) -> None:
@@ -125,7 +125,7 @@
             del self._unreadable[next(iter(self._unreadable))]
         _log(LogEvent.ENGINE_LIMIT_UNREADABLE, info, value=value)
 
-    def ended(self, turn: RestTurn | None, was_served: bool) -> None:
+    def ended(self, turn: RecoverySlot | None, was_served: bool) -> None:
         """A request has ended; those that wait for its turn after a rest look again."""
         if self.end(turn, was_served):
             self._announce()
--- a/src/wheelslip/forwarding/assignment.py
+++ b/src/wheelslip/forwarding/assignment.py
@@ -10,7 +10,7 @@
 from wheelslip.routing.dispatcher import Progress
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.tenant_limits import TenantLimits
-from wheelslip.routing.worker_allowance import LimitedChoice, WorkerAllowance
+from wheelslip.routing.worker_allowance import RateLimitedChoice, WorkerAllowance
 from wheelslip.routing.worker_choice import WorkerPlacement
 
 
@@ -87,7 +87,7 @@
 
     def _not_sent(self, progress: Progress) -> None:
         if self._grant is None and self.placement.is_counted:
-            self._allowance.give_back(self.placement.worker.info.id)
+            self._allowance.refund(self.placement.worker.info.id)
         self._tell(progress)
 
     def end(self, had_first_token: bool) -> None:
@@ -134,7 +134,7 @@
         self._link = link
         self._limits = limits
         self._allowance = allowance
-        self._own_choice = LimitedChoice(records, allowance)
+        self._own_choice = RateLimitedChoice(records, allowance)
         self._dispatches = dispatches
         self._clock = clock
 
@@ -166,7 +166,7 @@
         if not query.limit_units:
             return
         if self._link is None:
-            self._limits.take(query)
+            self._limits.charge(query)
         else:
             await self._link.count(query)
         job.counted = True
--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -17,7 +17,7 @@
 from wheelslip.forwarding.interface import KeyValueStore
 from wheelslip.forwarding.job import Job
 from wheelslip.forwarding.registry import Registry
-from wheelslip.routing.crash_ledger import CrashLedger, Standing
+from wheelslip.routing.crash_ledger import CrashLedger, FingerprintStatus
 
 
 class CrashGuard:
@@ -49,7 +49,7 @@
 
     def refused_contents(self) -> int:
         """Return the number of contents that are refused now."""
-        return self._ledger.refused()
+        return self._ledger.refused_count()
 
     async def admit(self, job: Job, service: str) -> Trial | None:
         """Let a request pass; return the turn that it has, if its content is suspected.
@@ -59,10 +59,10 @@
         if not self._ledger:
             # No engine has ended under anything: the content is not even looked at.
             return None
-        match self._ledger.standing(job.fingerprint):
-            case Standing.FREE:
+        match self._ledger.status(job.fingerprint):
+            case FingerprintStatus.FREE:
                 return None
-            case Standing.REFUSED:
+            case FingerprintStatus.REFUSED:
                 seconds = max(1.0, round(self._ledger.refused_seconds(job.fingerprint)))
                 kind = ErrorKind.REQUEST_CRASHES_ENGINES
                 raise WheelslipError(kind, "engines ended under this content", seconds)
@@ -97,5 +97,5 @@
             await self._evidence.settled(job.last_start)
         await self.reports.written()
         # Until the verdict, whichever it is, nobody else may try the content at another engine.
-        await asyncio.sleep(self._ledger.news_seconds(job.fingerprint))
+        await asyncio.sleep(self._ledger.pending_report_seconds(job.fingerprint))
         await self._trials.give_back(trial)
--- a/src/wheelslip/forwarding/crash_reports.py
+++ b/src/wheelslip/forwarding/crash_reports.py
@@ -16,7 +16,7 @@
 from wheelslip.forwarding.interface import KeyValueStore
 from wheelslip.forwarding.registry import Registry
 from wheelslip.keyvalue.model import KeyValueError, Put, Transaction, TransactionResult
-from wheelslip.routing.crash_ledger import MAX_CONTENTS, Crash, CrashLedger, Standing
+from wheelslip.routing.crash_ledger import MAX_FINGERPRINTS, Crash, CrashLedger, FingerprintStatus
 
 CRASHES_PREFIX = "wheelslip/crashes/"
 
@@ -89,7 +89,7 @@
         That of a free content is told with the next write only, or once another engine ends under it.
         """
         crashes = self._ledger.crashes(content)
-        is_free = self._ledger.standing(content) is Standing.FREE
+        is_free = self._ledger.status(content) is FingerprintStatus.FREE
         self._ledger.clear(crashes)
         for one in crashes:
             self._cleared[one[:2]] = one
@@ -135,26 +135,29 @@
         self._ledger.clear(report.cleared)
 
     def _take(self, crash: Crash) -> None:
-        content = crash.content
-        before = self._ledger.standing(content)
-        if not self._ledger.take(crash):
+        content = crash.fingerprint
+        before = self._ledger.status(content)
+        if not self._ledger.record(crash):
             return
         if content in self._untold:
             self._mark_changed()
-        if before is Standing.REFUSED:
+        if before is FingerprintStatus.REFUSED:
             return
         self._logged.discard(content)
         self._log_verdict(content)
-        wait = self._ledger.news_seconds(content)
+        wait = self._ledger.pending_report_seconds(content)
         if wait > 0:
             asyncio.get_running_loop().call_later(wait, self._log_verdict, content)
 
     def _log_verdict(self, content: str) -> None:
-        if content not in self._logged and self._ledger.standing(content) is Standing.REFUSED:
-            if len(self._logged) >= MAX_CONTENTS:
+        if (
+            content not in self._logged
+            and self._ledger.status(content) is FingerprintStatus.REFUSED
+        ):
+            if len(self._logged) >= MAX_FINGERPRINTS:
                 self._logged.clear()
             self._logged.add(content)
-            ended = [one.start for one in self._ledger.crashes(content)]
+            ended = [one.incarnation for one in self._ledger.crashes(content)]
             log_event(LogEvent.CONTENT_REFUSED, content=content, ended=ended)
 
     # Telling
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -32,7 +32,7 @@
 from wheelslip.forwarding.worker_pool import WorkerPool
 from wheelslip.routing.overload import Overloaded, Turns
 from wheelslip.routing.retry_window import RetryWindow
-from wheelslip.routing.split import SmoothSplit
+from wheelslip.routing.split import WeightedRoundRobin
 from wheelslip.routing.tenant_limits import NoAuthority, TenantLimited
 
 WORKER_NEWS_SECONDS = 0.2
@@ -94,7 +94,7 @@
         self._clock = clock
         self._admission = Admission(dialect, registry, bounds)
         self._services = AttemptServices(dialect, registry, pool, metrics, clock)
-        self._splits: dict[str, SmoothSplit] = {}
+        self._splits: dict[str, WeightedRoundRobin] = {}
         self._budgets: dict[str, RetryWindow] = {}
         self._rest_turns: dict[str, Turns] = {}
 
@@ -190,7 +190,7 @@
         self, job: Job, service: str, caller: CallerConnection
     ) -> None:
         budget = self._budget(service)
-        budget.record_first(self._clock())
+        budget.record_first_attempt(self._clock())
         while True:
             assignment = await self._assign(job, service)
             outcome = await self._attempt(job, assignment, caller)
@@ -206,7 +206,7 @@
         parts = job.route.split
         if len(parts) == 1:
             return parts[0].service
-        split = self._splits.setdefault(job.route.name, SmoothSplit())
+        split = self._splits.setdefault(job.route.name, WeightedRoundRobin())
         weights = {part.service: part.weight for part in self._live_parts(parts)}
         return split.choose(weights) or parts[0].service
 
@@ -311,7 +311,7 @@
                 return False
         elif job.sent >= MAX_SENDS:
             return False
-        return budget.take_repeat(self._clock())
+        return budget.take_retry(self._clock())
 
     def _end_unserved(self, job: Job, caller: CallerConnection) -> None:
         if job.failure is not None and not caller.answer_started:
--- a/src/wheelslip/forwarding/limit_meter.py
+++ b/src/wheelslip/forwarding/limit_meter.py
@@ -9,7 +9,7 @@
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatcher_health import DispatcherHealth
 from wheelslip.peers.limit_votes import LimitVotes
-from wheelslip.routing.limit_authority import Authority, VotedAuthority, WholeAuthority
+from wheelslip.routing.limit_authority import Authority, SingleNodeAuthority, VotedAuthority
 from wheelslip.routing.tenant_limits import LimitTolerance, TenantLimits
 from wheelslip.routing.worker_allowance import WorkerAllowance
 
@@ -48,7 +48,7 @@
 
     def _make_authority(self, relay: RelayLease | None) -> Authority:
         if relay is None:
-            return WholeAuthority(self._clock)
+            return SingleNodeAuthority(self._clock)
         return VotedAuthority(
             self._address, relay.by_tenure, lambda: self._bounds().limit_overage, self._clock
         )
@@ -88,9 +88,9 @@
         """Return the figures of the metrics by name."""
         return {
             "limit_share": self.authority.share,
-            "limit_fleet": lambda: float(self.authority.fleet),
+            "limit_fleet": lambda: float(self.authority.fleet_size),
             "requests_over_tenant_limits": lambda: float(self.limits.refused),
             "limited_engine_grants": lambda: float(self.allowance.granted),
-            "limited_engine_grants_returned": lambda: float(self.allowance.returned),
+            "limited_engine_grants_returned": lambda: float(self.allowance.refunded),
             "requests_over_engine_limits": lambda: float(self.allowance.refused),
         }
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -322,7 +322,7 @@
             "refused_contents": lambda: float(self._crash_guard.refused_contents()),
             "engines_said_leaving": lambda: float(self._registry.notices.said_leaving),
             "engine_rests_begun": lambda: float(self._registry.notices.rests_begun),
-            "engines_resting": lambda: float(self._registry.notices.resting),
+            "engines_resting": lambda: float(self._registry.notices.backing_off_count),
             "engines_limited": lambda: float(self._registry.notices.limits.count()),
             "worker_connections_opened": lambda: float(self._pool.opened),
         }
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -26,7 +26,7 @@
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.forwarding.store_health import StoreHealth
 from wheelslip.forwarding.worker_view import WorkerView
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.named_limits import WorkerRateLimits
 
 RecordT = TypeVar("RecordT", bound=msgspec.Struct)
 
@@ -299,13 +299,13 @@
         return self.takes_requests(incarnation) and self.notices.may_begin(incarnation)
 
     @property
-    def limits(self) -> NamedLimits:
+    def limits(self) -> WorkerRateLimits:
         """The rate limits that workers name."""
         return self.notices.limits
 
     def has_limited(self, service: str) -> bool:
         """Return whether a worker of a service names a limit."""
-        starts = self.limits.limited_starts()
+        starts = self.limits.limited_incarnations()
         return any(
             one in self.workers and self.workers[one].info.service == service for one in starts
         )
@@ -320,7 +320,7 @@
         """Return when the first of the workers in use that rest returns; ``None`` if none rests."""
         in_use = [one.info.id for one in self.workers_of(service)]
         resting = self.notices.withheld(in_use)
-        return min(map(self.notices.rest_until, resting), default=None)
+        return min(map(self.notices.backoff_until, resting), default=None)
 
     def mark_replaced(self, incarnation: Incarnation) -> None:
         """Another process answered at a worker's address."""
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -35,7 +35,7 @@
 from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.named_limits import WorkerRateLimits
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.tenant_limits import TenantLimited
@@ -120,7 +120,7 @@
         dispatchers_of: Callable[[str], list[str]],
         health: DispatcherHealth,
         counters: Callable[[], list[str]],
-        limits: NamedLimits,
+        limits: WorkerRateLimits,
         report_limits: Callable[[str], None],
         clock: Callable[[], float],
         random_source: random.Random,
@@ -251,7 +251,7 @@
 
     def _limited(self, service: str) -> frozenset[Incarnation]:
         """Return the workers of a service that name a limit."""
-        starts = self._limits.limited_starts()
+        starts = self._limits.limited_incarnations()
         return frozenset(one for one in starts if self._records.serves(one, service))
 
     def _hand_back_uncounted(self, address: str, ticket_id: TicketId, worker: Incarnation) -> None:
--- a/src/wheelslip/peers/limit_reports.py
+++ b/src/wheelslip/peers/limit_reports.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from wheelslip.peers.datagrams import DatagramSocket
-from wheelslip.routing.named_limits import LimitReport, NamedLimits
+from wheelslip.routing.named_limits import LimitReport, WorkerRateLimits
 
 LIMITS = "limits"
 """Kind of the messages."""
@@ -43,7 +43,7 @@
         self,
         address: str,
         socket: DatagramSocket,
-        limits: NamedLimits,
+        limits: WorkerRateLimits,
         take: Callable[[LimitReport, str, bool], bool],
         relays: Callable[[], list[str]],
         followers: Callable[[], list[str]],
@@ -64,7 +64,7 @@
 
     def _repeat(self) -> None:
         """Repeat what answers to this node have shown; a relay repeats all that it believes."""
-        direct = self._limits.direct_reports()
+        direct = self._limits.drain_direct_reports()
         if self._is_relay():
             receivers = {*self._relays(), *self._followers()}
             self._send(self._others(receivers), self._limits.reports())
@@ -74,7 +74,7 @@
     def announce(self, report: LimitReport) -> None:
         """Report what this node has seen in an answer."""
         self._send(self._others(self._relays()), [report])
-        if self._is_relay() and self._limits.rate(report.start) == report.rate:
+        if self._is_relay() and self._limits.rate(report.incarnation) == report.rate:
             self._send(self._others(self._followers()), [report])
 
     def report_to(self, address: str) -> None:
@@ -96,9 +96,9 @@
 
     def _received(self, message: LimitsReported, sender: str) -> None:
         is_relay = self._is_relay()
-        changed = [one.start for one in message.reports if self._take(one, sender, is_relay)]
+        changed = [one.incarnation for one in message.reports if self._take(one, sender, is_relay)]
         if not is_relay:
             return
         self._send(self._others(self._followers()), [self._limits.report(one) for one in changed])
         # A node that missed the end of a limit would hand back grants for ever.
-        self._send([sender], self._limits.contradicted(message.reports))
+        self._send([sender], self._limits.corrections(message.reports))
--- a/src/wheelslip/peers/limit_votes.py
+++ b/src/wheelslip/peers/limit_votes.py
@@ -17,7 +17,7 @@
     VoteTaken,
     VoteTold,
 )
-from wheelslip.routing.limit_authority import VOTE_SECONDS, VotedAuthority
+from wheelslip.routing.limit_authority import VOTE_VALIDITY_SECONDS, VotedAuthority
 from wheelslip.routing.tenant_limits import TenantLimits
 
 TICK_SECONDS = 0.25
@@ -81,7 +81,7 @@
 
     def _tell_votes(self, votes: int) -> None:
         others = [one for one in self._meters() if one != self._address]
-        seconds = self._authority.valid_seconds()
+        seconds = self._authority.remaining_validity_seconds()
         self._socket.send_to(others, VOTES, VotesTold(votes, seconds))
 
     def counters(self) -> list[str]:
@@ -100,9 +100,9 @@
         self._valid_until = {key: until for key, until in self._valid_until.items() if now < until}
         if any(one != meter for one in self._valid_until):
             return
-        self._valid_until[meter] = now + VOTE_SECONDS
+        self._valid_until[meter] = now + VOTE_VALIDITY_SECONDS
         if meter == self._address:
-            self._authority.vote(meter)
+            self._authority.record_vote(meter)
         else:
             self._send_vote(meter, is_probe=False)
 
@@ -128,15 +128,15 @@
 
     def _voted(self, vote: VoteTold, sender: str) -> None:
         if not vote.is_probe:
-            self._authority.vote(sender)
-        self._socket.send(sender, VOTED, VoteTaken(self._authority.fleet))
+            self._authority.record_vote(sender)
+        self._socket.send(sender, VOTED, VoteTaken(self._authority.fleet_size))
 
     def _taken(self, taken: VoteTaken, sender: str) -> None:
         self._unanswered.discard(sender)
-        self._authority.note_fleet(taken.fleet)
+        self._authority.update_fleet_size(taken.fleet)
 
     def _told(self, told: VotesTold, sender: str) -> None:
-        self._authority.told(sender, told.votes, told.seconds)
+        self._authority.record_peer_votes(sender, told.votes, told.seconds)
 
     def _released(self, released: VoteReleased, sender: str) -> None:
         now = self._clock()
--- a/src/wheelslip/routing/crash_ledger.py
+++ b/src/wheelslip/routing/crash_ledger.py
@@ -34,7 +34,7 @@
 MAX_REFUSED_SECONDS = 600.0
 """No refusal lasts longer: an engine that is not mended ends once in that time."""
 
-NEWS_SECONDS = 1.0
+REPORT_WAIT_SECONDS = 1.0
 """A verdict waits so long for what other nodes lost at the same engine, where another content could be
 suspected by that: the news come 0.1 to 0.3 s later by the store. Without it a harmless content that
 shared an engine with a deadly one was refused for 3.4 s in 1 of 53 randomised runs of processes."""
@@ -42,7 +42,7 @@
 FORGOTTEN_SECONDS = 3600.0
 """A content under which no engine has ended for so long is forgotten."""
 
-MAX_CONTENTS = 4096
+MAX_FINGERPRINTS = 4096
 """Most contents kept, some 1 MB; those with the fewest crashes go first, the oldest of them before
 others."""
 
@@ -53,8 +53,8 @@
     :ivar alone: no other suspected content ran then.
     """
 
-    content: str
-    start: Incarnation
+    fingerprint: str
+    incarnation: Incarnation
     alone: bool = False
 
 
@@ -63,7 +63,7 @@
     alone: bool
 
 
-class Standing(enum.Enum):
+class FingerprintStatus(enum.Enum):
     """What is done with a request of a content."""
 
     FREE = "free"
@@ -87,14 +87,14 @@
         """Return the number of contents that are known, cleared ones included."""
         return len(self._seen)
 
-    def take(self, crash: Crash) -> bool:
+    def record(self, crash: Crash) -> bool:
         """Take a crash; return whether it is news."""
-        starts = self._seen.setdefault(crash.content, {})
-        known = starts.get(crash.start)
+        starts = self._seen.setdefault(crash.fingerprint, {})
+        known = starts.get(crash.incarnation)
         if known is not None and known.alone >= crash.alone:
             return False
-        starts[crash.start] = _Seen(self._clock(), crash.alone)
-        self._ran_at.setdefault(crash.start, set()).add(crash.content)
+        starts[crash.incarnation] = _Seen(self._clock(), crash.alone)
+        self._ran_at.setdefault(crash.incarnation, set()).add(crash.fingerprint)
         self._trim()
         return True
 
@@ -102,11 +102,11 @@
         """Take what a whole run has cleared, here or at another node."""
         is_news = False
         for one in crashes:
-            cleared = self._cleared.setdefault(one.content, set())
-            is_news = is_news or one.start not in cleared
-            cleared.add(one.start)
+            cleared = self._cleared.setdefault(one.fingerprint, set())
+            is_news = is_news or one.incarnation not in cleared
+            cleared.add(one.incarnation)
             seen = _Seen(self._clock(), one.alone)
-            self._seen.setdefault(one.content, {}).setdefault(one.start, seen)
+            self._seen.setdefault(one.fingerprint, {}).setdefault(one.incarnation, seen)
         if is_news:
             self._trim()
 
@@ -114,14 +114,14 @@
         """Return the crashes of a content that no whole run has cleared, the oldest first."""
         return [Crash(content, start, one.alone) for start, one in self._open(content).items()]
 
-    def standing(self, content: str) -> Standing:
+    def status(self, content: str) -> FingerprintStatus:
         """Return what is done with a request of a content now."""
         count = len(self._open(content))
         if count < TRIAL_FROM:
-            return Standing.FREE
+            return FingerprintStatus.FREE
         if count < REFUSED_FROM or self.refused_seconds(content) <= 0:
-            return Standing.TRIAL
-        return Standing.REFUSED if self._is_the_cause(content) else Standing.TRIAL
+            return FingerprintStatus.TRIAL
+        return FingerprintStatus.REFUSED if self._is_the_cause(content) else FingerprintStatus.TRIAL
 
     def _is_the_cause(self, content: str) -> bool:
         """Whether engines ended under a content while nothing else can have been the cause."""
@@ -135,7 +135,7 @@
 
     def _awaits_news(self, content: str, start: Incarnation) -> bool:
         """Whether news of another content at the same start may still come, and would matter."""
-        if self._clock() >= self._seen[content][start].at + NEWS_SECONDS:
+        if self._clock() >= self._seen[content][start].at + REPORT_WAIT_SECONDS:
             return False
         # What a clearing told of is known too, whichever of it and the crash came first.
         return any(
@@ -144,11 +144,11 @@
             if other != content and start not in starts
         )
 
-    def news_seconds(self, content: str) -> float:
+    def pending_report_seconds(self, content: str) -> float:
         """Return for how long the verdict on a content still waits for news, at most."""
         starts = [start for start, one in self._open(content).items() if one.alone]
         waits = [
-            self._seen[content][one].at + NEWS_SECONDS - self._clock()
+            self._seen[content][one].at + REPORT_WAIT_SECONDS - self._clock()
             for one in starts
             if self._awaits_news(content, one)
         ]
@@ -172,9 +172,9 @@
         seconds = min(MAX_REFUSED_SECONDS, REFUSED_SECONDS * 2 ** (len(alone) - 1))
         return max(0.0, max(alone) + seconds - self._clock())
 
-    def refused(self) -> int:
+    def refused_count(self) -> int:
         """Return the number of contents that are refused now."""
-        return sum(self.standing(one) is Standing.REFUSED for one in self._seen)
+        return sum(self.status(one) is FingerprintStatus.REFUSED for one in self._seen)
 
     def _open(self, content: str) -> dict[Incarnation, _Seen]:
         cleared = self._cleared.get(content, set())
@@ -185,7 +185,7 @@
         oldest = self._clock() - FORGOTTEN_SECONDS
         for content in [one for one in self._seen if self._last(one) < oldest]:
             self._forget(content)
-        while len(self._seen) > MAX_CONTENTS:
+        while len(self._seen) > MAX_FINGERPRINTS:
             self._forget(min(self._seen, key=self._worth_keeping))
 
     def _last(self, content: str) -> float:
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -16,7 +16,7 @@
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.tenant_limits import Charge, NoAuthority, TenantLimits
-from wheelslip.routing.worker_allowance import LimitedChoice, WorkerAllowance
+from wheelslip.routing.worker_allowance import RateLimitedChoice, WorkerAllowance
 
 UNLISTED_SECONDS = 1.0
 """A ticket this old that its node does not list any more has ended."""
@@ -82,7 +82,7 @@
         self.placement = placement
         self._limits = limits
         self._allowance = allowance
-        self._choice = LimitedChoice(placement, allowance)
+        self._choice = RateLimitedChoice(placement, allowance)
         self._clock = clock
         self._counted: dict[TicketId, float] = {}
         self._tickets: dict[TicketId, _Ticket] = {}
@@ -108,7 +108,7 @@
         if known is not None:
             return known.placement
         try:
-            charge = self._limits.take(query)
+            charge = self._limits.charge(query)
         except NoAuthority:
             # The node that asks follows another dispatcher in a moment.
             return None
@@ -124,11 +124,11 @@
         try:
             placement = self._choice.choose(query, self._clock())
         except Overloaded:
-            self._limits.give_back(charge)
+            self._limits.refund(charge)
             self.held_back += 1
             raise
         if placement is None:
-            self._limits.give_back(charge)
+            self._limits.refund(charge)
         return placement
 
     def count(self, ticket_id: TicketId, query: PlacementQuery) -> None:
@@ -140,7 +140,7 @@
         self._hear(ticket_id.node)
         self._sweep()
         if ticket_id not in self._counted:
-            self._limits.take(query)
+            self._limits.charge(query)
             self._counted[ticket_id] = self._clock() + COUNTED_SECONDS
 
     def progress(self, ticket_id: TicketId, progress: Progress) -> None:
@@ -178,11 +178,11 @@
     def _end_not_sent(self, ticket_id: TicketId) -> None:
         placement = self._tickets[ticket_id].placement
         if placement.is_counted:
-            self._allowance.give_back(placement.worker.info.id)
+            self._allowance.refund(placement.worker.info.id)
         self._end_not_run(ticket_id)
 
     def _end_not_run(self, ticket_id: TicketId) -> None:
-        self._limits.give_back(self._tickets[ticket_id].charge)
+        self._limits.refund(self._tickets[ticket_id].charge)
         self._end(ticket_id)
 
     def _first_token(self, ticket: _Ticket) -> None:
--- a/src/wheelslip/routing/limit_authority.py
+++ b/src/wheelslip/routing/limit_authority.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-VOTE_SECONDS = 0.8
+VOTE_VALIDITY_SECONDS = 0.8
 """Validity of a vote. A meter that dies leaves its tenants without a meter for so long; nodes
 vote three times within it, so that two lost datagrams cost nothing."""
 
@@ -41,37 +41,37 @@
     :ivar standby_share: this node's share among the meters that stand by, 0 if it is none.
     """
 
-    fleet: int
+    fleet_size: int
 
     standby_share: float
 
-    def note_fleet(self, nodes: int) -> None:
+    def update_fleet_size(self, nodes: int) -> None:
         """Take the number of nodes from another node that counts."""
 
     def share(self) -> float:
         """Return the share of each limit, from 0 to 1."""
 
-    def seconds(self) -> float:
+    def weighted_seconds(self) -> float:
         """Return the seconds for which this node has had the whole, or as much in parts."""
 
 
-class WholeAuthority:
+class SingleNodeAuthority:
     """The authority of a node that is the only one."""
 
-    fleet = 1
+    fleet_size = 1
     standby_share = 0.0
 
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
 
-    def note_fleet(self, nodes: int) -> None:
+    def update_fleet_size(self, nodes: int) -> None:
         """Pass it over: there is no other node."""
 
     def share(self) -> float:
         """Return the whole."""
         return 1.0
 
-    def seconds(self) -> float:
+    def weighted_seconds(self) -> float:
         """Return the time."""
         return self._clock()
 
@@ -116,7 +116,7 @@
         self.released = False
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """The number of nodes, as far as this one knows; 0 while it knows nothing."""
         return self._fleet
 
@@ -136,26 +136,26 @@
         while self._votes and next(iter(self._votes.values())) <= now:
             del self._votes[next(iter(self._votes))]
 
-    def vote(self, node: str) -> None:
+    def record_vote(self, node: str) -> None:
         """Take a node's vote."""
         self._advance()
         if self.released:
             return
         self._votes.pop(node, None)
-        self._votes[node] = self._clock() + VOTE_SECONDS
+        self._votes[node] = self._clock() + VOTE_VALIDITY_SECONDS
         self._advance()
 
-    def valid_seconds(self) -> float:
+    def remaining_validity_seconds(self) -> float:
         """Return how long the last of the votes holds."""
         return next(reversed(self._votes.values()), self._clock()) - self._clock()
 
-    def told(self, meter: str, votes: int, seconds: float) -> None:
+    def record_peer_votes(self, meter: str, votes: int, seconds: float) -> None:
         """Take another meter's number of valid votes, and how long the last of them holds."""
         self._told[meter] = _Told(votes, self._clock() + min(TOLD_SECONDS, seconds))
         self._fleet_told = True
         self._advance()
 
-    def note_fleet(self, nodes: int) -> None:
+    def update_fleet_size(self, nodes: int) -> None:
         """Take the number of nodes from the meter that this node votes for."""
         if nodes and not self._is_first:
             self._fleet, self._fleet_told = nodes, True
@@ -175,7 +175,7 @@
         self._advance()
         return self._share
 
-    def seconds(self) -> float:
+    def weighted_seconds(self) -> float:
         """Return the time for which this node had authority, weighted by its share."""
         self._advance()
         return self._seconds
--- a/src/wheelslip/routing/limits.py
+++ b/src/wheelslip/routing/limits.py
@@ -21,7 +21,7 @@
         self.level = min(self.capacity, self.level + (now - self.updated_at) * self.rate)
         self.updated_at = now
 
-    def take(self, amount: float, now: float, overdraft: float = 0.0) -> float:
+    def acquire(self, amount: float, now: float, overdraft: float = 0.0) -> float:
         """Take ``amount`` if it is there; return 0, or the seconds until it will be.
 
         :param overdraft: how far the level may fall below zero by this.
@@ -34,7 +34,7 @@
         self.level -= amount
         return 0.0
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Put back what was taken and not used."""
         self.level = min(self.capacity, self.level + amount)
 
--- a/src/wheelslip/routing/named_limits.py
+++ b/src/wheelslip/routing/named_limits.py
@@ -39,7 +39,7 @@
     :ivar age: seconds since it was observed.
     """
 
-    start: Incarnation
+    incarnation: Incarnation
     rate: float | None
     age: float
 
@@ -59,7 +59,7 @@
     is_direct: bool = False
 
 
-class NamedLimits:
+class WorkerRateLimits:
     """Limits of workers as this node believes them.
 
     :param clock: steady clock in seconds.
@@ -72,27 +72,27 @@
 
     # Answers to this node
 
-    def note_limit(self, start: Incarnation, rate: float) -> LimitReport | None:
+    def record_limit(self, start: Incarnation, rate: float) -> LimitReport | None:
         """An answer to this node named a limit; return what to report if it is news."""
         rate = min(rate, MAX_RATE)
         is_news = self.rate(start) != rate
         self._set(start, _Belief(rate, self._clock(), is_direct=True))
         return self.report(start) if is_news else None
 
-    def note_no_limit(self, start: Incarnation, sent_at: float) -> LimitReport | None:
-        """An answer to this node named no limit; return what to report if one is known.
+    def record_no_limit(self, start: Incarnation, sent_at: float) -> LimitReport | None:
+        """An answer to this node named no limit; return what to report if one is current.
 
         :param sent_at: when the request was sent. The answer is no older than that for certain.
         """
-        known = self._beliefs.get(start)
-        if known is None or known.rate is None or sent_at <= known.observed_at:
+        current = self._beliefs.get(start)
+        if current is None or current.rate is None or sent_at <= current.observed_at:
             return None
-        self._count_without(start, known)
+        self._count_without(start, current)
         return LimitReport(start, None, round(self._clock() - sent_at, 4))
 
-    def _count_without(self, start: Incarnation, known: _Belief) -> None:
-        known.answers_without += 1
-        if known.answers_without >= ANSWERS_TO_LIFT:
+    def _count_without(self, start: Incarnation, current: _Belief) -> None:
+        current.answers_without += 1
+        if current.answers_without >= ANSWERS_TO_LIFT:
             self._set(start, _Belief(None, self._clock()))
 
     # Reports of other nodes
@@ -102,32 +102,32 @@
 
         An answer without a limit counts like one to this node.
         """
-        known = self._beliefs.get(report.start)
-        if report.rate is not None or known is None or known.rate is None:
+        current = self._beliefs.get(report.incarnation)
+        if report.rate is not None or current is None or current.rate is None:
             return self.merge(report)
-        if self._observed_at(report) > known.observed_at + REORDER_SECONDS:
-            self._count_without(report.start, known)
-        return self.rate(report.start) is None
+        if self._observed_at(report) > current.observed_at + REORDER_SECONDS:
+            self._count_without(report.incarnation, current)
+        return self.rate(report.incarnation) is None
 
     def merge(self, report: LimitReport) -> bool:
         """Take what another node believes, if that is newer; return whether it is news."""
-        known = self._beliefs.get(report.start)
+        current = self._beliefs.get(report.incarnation)
         observed_at = self._observed_at(report)
-        if known is None:
+        if current is None:
             if report.rate is not None:
-                self._set(report.start, _Belief(report.rate, observed_at))
+                self._set(report.incarnation, _Belief(report.rate, observed_at))
             return report.rate is not None
-        distance = observed_at - known.observed_at
-        if known.rate == report.rate:
+        distance = observed_at - current.observed_at
+        if current.rate == report.rate:
             # By less it may be no newer: nodes that repeat to each other would make it younger.
             if distance > REORDER_SECONDS:
-                known.observed_at = observed_at
+                current.observed_at = observed_at
             return False
-        is_lower = _as_number(report.rate) < _as_number(known.rate)
+        is_lower = _as_number(report.rate) < _as_number(current.rate)
         is_newer = distance >= -REORDER_SECONDS if is_lower else distance > REORDER_SECONDS
         if not is_newer:
             return False
-        self._set(report.start, _Belief(report.rate, observed_at))
+        self._set(report.incarnation, _Belief(report.rate, observed_at))
         return True
 
     def _observed_at(self, report: LimitReport) -> float:
@@ -162,7 +162,7 @@
         """Return those of some starts that have a limit."""
         return frozenset(one for one in starts if one in self._limited)
 
-    def limited_starts(self) -> list[Incarnation]:
+    def limited_incarnations(self) -> list[Incarnation]:
         """Return all starts that have a limit."""
         return list(self._limited)
 
@@ -171,9 +171,9 @@
         return len(self._limited)
 
     def report(self, start: Incarnation) -> LimitReport:
-        """Return the report on one start that is known."""
-        known = self._beliefs[start]
-        return LimitReport(start, known.rate, round(self._clock() - known.observed_at, 4))
+        """Return the report on one start that is current."""
+        current = self._beliefs[start]
+        return LimitReport(start, current.rate, round(self._clock() - current.observed_at, 4))
 
     def reports(self) -> list[LimitReport]:
         """Return a report on each limit that holds or has just ended."""
@@ -184,19 +184,19 @@
             if one.rate is not None or one.observed_at >= oldest
         ]
 
-    def direct_reports(self) -> list[LimitReport]:
+    def drain_direct_reports(self) -> list[LimitReport]:
         """Return reports on what answers to this node have shown since the last call."""
         fresh = [start for start, one in self._beliefs.items() if one.is_direct]
         for start in fresh:
             self._beliefs[start].is_direct = False
         return [self.report(start) for start in fresh]
 
-    def contradicted(self, reports: Iterable[LimitReport]) -> list[LimitReport]:
+    def corrections(self, reports: Iterable[LimitReport]) -> list[LimitReport]:
         """Return what this node believes where another node's reports say otherwise."""
         return [
-            self.report(one.start)
+            self.report(one.incarnation)
             for one in reports
-            if one.start in self._beliefs and self.rate(one.start) != one.rate
+            if one.incarnation in self._beliefs and self.rate(one.incarnation) != one.rate
         ]
 
 
--- a/src/wheelslip/routing/retry_window.py
+++ b/src/wheelslip/routing/retry_window.py
@@ -19,12 +19,12 @@
         self._first: deque[float] = deque()
         self._repeated: deque[float] = deque()
 
-    def record_first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count the first send of a request."""
         self._first.append(now)
         self._expire(now)
 
-    def take_repeat(self, now: float) -> bool:
+    def take_retry(self, now: float) -> bool:
         """Count a further send if the budget allows it."""
         self._expire(now)
         if len(self._repeated) + 1 > self._ratio * len(self._first):
--- a/src/wheelslip/routing/split.py
+++ b/src/wheelslip/routing/split.py
@@ -1,7 +1,7 @@
 """Smooth weighted round robin over the parts of a route."""
 
 
-class SmoothSplit:
+class WeightedRoundRobin:
     """Chooses names so that each gets its share of any run of choices."""
 
     def __init__(self):
--- a/src/wheelslip/routing/tenant_limits.py
+++ b/src/wheelslip/routing/tenant_limits.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from wheelslip.deployment import TenantLimit
-from wheelslip.routing.limit_authority import VOTE_SECONDS, Authority
+from wheelslip.routing.limit_authority import VOTE_VALIDITY_SECONDS, Authority
 from wheelslip.routing.limits import TokenBucket
 from wheelslip.routing.placement import PlacementQuery
 
@@ -105,7 +105,7 @@
         self._turn_at: dict[str, float] = {}
         self.refused = 0
 
-    def take(self, query: PlacementQuery) -> Charge | None:
+    def charge(self, query: PlacementQuery) -> Charge | None:
         """Take what a request counts; ``None`` when its tenant has no limit.
 
         :raises TenantLimited: when the tenant is over its limit.
@@ -135,7 +135,7 @@
         self._largest[query.tenant] = max(units, self._largest.get(query.tenant, 0.0))
         bucket = self._bucket(query.tenant, limit, share)
         overdraft = URGENT_OVERDRAFT * limit.burst if self._is_most_urgent(query) else 0.0
-        return bucket.take(units, self._authority.seconds(), overdraft)
+        return bucket.acquire(units, self._authority.weighted_seconds(), overdraft)
 
     def _take_reserve(self, query: PlacementQuery, limit: TenantLimit) -> bool:
         """Take from the reserve of a standby meter."""
@@ -155,10 +155,10 @@
         reserve.level -= query.limit_units
         return True
 
-    def give_back(self, charge: Charge | None) -> None:
+    def refund(self, charge: Charge | None) -> None:
         """A request that was counted was proven not to run."""
         if charge is not None and charge.tenant in self._buckets:
-            self._buckets[charge.tenant].give_back(charge.units)
+            self._buckets[charge.tenant].refund(charge.units)
 
     def update(self) -> None:
         """Take over the limits in force, if they have changed.
@@ -169,7 +169,7 @@
         limits = self._limits_in_force()
         if limits is self._limits:
             return
-        share, now = self._authority.share(), self._authority.seconds()
+        share, now = self._authority.share(), self._authority.weighted_seconds()
         for tenant, limit in limits.items():
             bucket = self._buckets.get(tenant)
             if bucket is None:
@@ -183,7 +183,7 @@
     def trim(self) -> None:
         """Give up what the buckets hold beyond this node's share, which may have fallen."""
         self.update()
-        share, now = self._authority.share(), self._authority.seconds()
+        share, now = self._authority.share(), self._authority.weighted_seconds()
         for tenant, limit in self._limits.items():
             self._bucket(tenant, limit, share).refill(now)
 
@@ -205,7 +205,7 @@
     def _turn(self, query: PlacementQuery, limit: TenantLimit, share: float, wait: float) -> float:
         """Return when a refused caller's turn comes: after those that were refused before it."""
         if share < PARTIAL_SHARE:
-            return VOTE_SECONDS
+            return VOTE_VALIDITY_SECONDS
         now = self._clock()
         turn_at = max(now + wait / share, self._turn_at.get(query.tenant, now))
         turn_at = min(turn_at, now + MOST_RETRY_SECONDS)
--- a/src/wheelslip/routing/worker_allowance.py
+++ b/src/wheelslip/routing/worker_allowance.py
@@ -13,7 +13,7 @@
 from wheelslip.deployment import Incarnation
 from wheelslip.routing.limit_authority import Authority
 from wheelslip.routing.limits import TokenBucket
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.named_limits import WorkerRateLimits
 from wheelslip.routing.overload import Overloaded, Turns
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.worker_choice import WorkerPlacement
@@ -35,16 +35,16 @@
     :param limits: what the workers name.
     :param authority: this node's part of every limit.
     :ivar granted: requests counted since the start.
-    :ivar returned: those of them that were never sent.
+    :ivar refunded: those of them that were never sent.
     :ivar refused: requests refused since the start because all workers were at their limits.
     """
 
-    def __init__(self, limits: NamedLimits, authority: Authority):
+    def __init__(self, limits: WorkerRateLimits, authority: Authority):
         self.limits = limits
         self._authority = authority
         self._buckets: dict[Incarnation, TokenBucket] = {}
         self.granted = 0
-        self.returned = 0
+        self.refunded = 0
         self.refused = 0
 
     def exhausted(self, starts: Iterable[Incarnation]) -> frozenset[Incarnation]:
@@ -56,7 +56,7 @@
             return limited
         return frozenset(one for one in limited if self._bucket(one).level < 1.0)
 
-    def take(self, start: Incarnation) -> bool:
+    def charge(self, start: Incarnation) -> bool:
         """Count a request to a worker that is not exhausted; return whether it has a limit."""
         if self.limits.rate(start) is None:
             return False
@@ -64,11 +64,11 @@
         self.granted += 1
         return True
 
-    def give_back(self, start: Incarnation) -> None:
+    def refund(self, start: Incarnation) -> None:
         """A request that was counted will never be sent."""
-        self.returned += 1
+        self.refunded += 1
         if self.limits.rate(start) is not None:
-            self._bucket(start).give_back(1.0)
+            self._bucket(start).refund(1.0)
 
     def wait_seconds(self, starts: Iterable[Incarnation]) -> float | None:
         """Return when the first of some exhausted workers may get a request.
@@ -94,7 +94,7 @@
     def _bucket(self, start: Incarnation) -> TokenBucket:
         """Return the bucket of a limited worker, filled up to now."""
         rate = max(PROBE_RATE, self.limits.rate(start))
-        now = self._authority.seconds()
+        now = self._authority.weighted_seconds()
         bucket = self._buckets.get(start)
         if bucket is None:
             self._trim()
@@ -106,7 +106,7 @@
         return bucket
 
 
-class LimitedChoice:
+class RateLimitedChoice:
     """Chooses workers within their limits.
 
     :param placement: what chooses among those that are left.
@@ -129,7 +129,7 @@
             chosen = self._placement.choose(query._replace(excluded=query.excluded | exhausted))
             if chosen is None:
                 self._raise_overloaded(query.service, exhausted, now)
-        if chosen is not None and self._allowance.take(chosen.worker.info.id):
+        if chosen is not None and self._allowance.charge(chosen.worker.info.id):
             return replace(chosen, is_counted=True)
         return chosen
 
@@ -138,7 +138,7 @@
         limits, placement = self._allowance.limits, self._placement
         return [
             start
-            for start in limits.limited_starts()
+            for start in limits.limited_incarnations()
             if start not in query.excluded and placement.serves(start, query.service)
         ]
 
--- a/tests/unit/forwarding/test_crash_reports.py
+++ b/tests/unit/forwarding/test_crash_reports.py
@@ -16,7 +16,7 @@
     Transaction,
     TransactionResult,
 )
-from wheelslip.routing.crash_ledger import Crash, CrashLedger, Standing
+from wheelslip.routing.crash_ledger import Crash, CrashLedger, FingerprintStatus
 
 KEY = CRASHES_PREFIX + "n1"
 
@@ -98,7 +98,7 @@
     node.reports.add(crash(3))
     asyncio.run(node.told())
     assert set(store.report().crashes) == {crash(1), crash(2), crash(3)}
-    assert node.ledger.standing("c") is Standing.REFUSED
+    assert node.ledger.status("c") is FingerprintStatus.REFUSED
 
 
 def test_other_nodes_crashes_come_with_the_view_and_spoilt_keys_do_no_harm(node, registry):
@@ -106,7 +106,7 @@
     for number in range(3):
         report = CrashReport([crash(number)], [])
         registry.apply(f"{CRASHES_PREFIX}n{number + 3}", msgspec.json.encode(report), 12 + number)
-    assert node.ledger.standing("c") is Standing.REFUSED
+    assert node.ledger.status("c") is FingerprintStatus.REFUSED
 
 
 def test_a_whole_run_of_a_free_content_is_told_once_another_engine_ends_under_it(
@@ -135,7 +135,7 @@
     asyncio.run(node.told())
     told = store.report().crashes
     assert len(told) == 20
-    assert [one for one in told if one.content == "c"] == [crash(0), crash(1), crash(2)]
+    assert [one for one in told if one.fingerprint == "c"] == [crash(0), crash(1), crash(2)]
 
 
 def test_a_verdict_is_logged_once(store, registry, clock, monkeypatch):
@@ -145,7 +145,7 @@
     monkeypatch.setattr(crash_reports, "log_event", lambda event, **fields: logged.append(event))
 
     async def crash_three_times() -> None:
-        monkeypatch.setattr(node.ledger, "news_seconds", lambda content: 0.001)
+        monkeypatch.setattr(node.ledger, "pending_report_seconds", lambda content: 0.001)
         for number in range(1, 4):
             node.reports.add(crash(number))
         await asyncio.sleep(0.05)
--- a/tests/unit/forwarding/test_dispatcher.py
+++ b/tests/unit/forwarding/test_dispatcher.py
@@ -20,7 +20,7 @@
 )
 from wheelslip.routing.fleet_choice import HEARD_SECONDS, FleetPlacement, RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
-from wheelslip.routing.limit_authority import WholeAuthority
+from wheelslip.routing.limit_authority import SingleNodeAuthority
 from wheelslip.routing.overload import (
     LEAST_WAIT_SECONDS,
     MOST_RETRY_SECONDS,
@@ -64,8 +64,10 @@
     for number in range(workers):
         entry = worker_entry(address=f"127.0.0.1:{1 + number}", model="m")
         view.apply(f"servers/w{number}", entry, 2 + number)
-    limits = TenantLimits(lambda: view.configuration.tenant_limits, WholeAuthority(clock), clock)
-    allowance = WorkerAllowance(view.limits, WholeAuthority(clock))
+    limits = TenantLimits(
+        lambda: view.configuration.tenant_limits, SingleNodeAuthority(clock), clock
+    )
+    allowance = WorkerAllowance(view.limits, SingleNodeAuthority(clock))
     return Dispatcher(FleetPlacement(view, clock, random.Random(1)), limits, allowance, clock)
 
 
--- a/tests/unit/forwarding/test_tenant_limits.py
+++ b/tests/unit/forwarding/test_tenant_limits.py
@@ -14,9 +14,9 @@
 from wheelslip.peers.limit_votes import TICK_SECONDS, LimitVotes
 from wheelslip.routing.limit_authority import (
     UNKNOWN_FLEET,
-    VOTE_SECONDS,
+    VOTE_VALIDITY_SECONDS,
+    SingleNodeAuthority,
     VotedAuthority,
-    WholeAuthority,
 )
 from wheelslip.routing.placement import PlacementQuery
 from wheelslip.routing.tenant_limits import (
@@ -94,7 +94,7 @@
     def take(self, units: float) -> bool:
         """Count one request here; return whether it may run."""
         try:
-            self.limits.take(request(units))
+            self.limits.charge(request(units))
         except (TenantLimited, NoAuthority):
             return False
         return True
@@ -210,7 +210,7 @@
 BOUND = LIMIT.rate * WINDOW_SECONDS + LIMIT.burst + TOLERANCE.excess(LIMIT)
 
 
-def test_with_all_votes_a_node_gives_out_the_whole_limit_and_no_more():
+def test_node_with_all_votes_grants_exactly_the_full_limit():
     world = World()
     world.advance(20)
     for _ in range(200):
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("askers", [1, 3, NODES])
-def test_nothing_is_refused_below_the_limit_however_few_nodes_ask(askers):
+def test_requests_below_limit_are_accepted_for_any_number_of_asking_nodes(askers):
     world = World()
     world.advance(20)
     # 16,000 units a second in requests of 8,000, at some of the nodes only.
@@ -233,7 +233,7 @@
         assert world.ask(second % askers, 8000.0)
 
 
-def test_a_request_over_the_burst_passes_once_the_bucket_is_full_and_leaves_a_debt():
+def test_request_above_burst_passes_with_full_bucket_and_leaves_negative_level():
     world = World()
     world.advance(20)
     assert world.ask(5, 50_000.0)
@@ -242,7 +242,7 @@
     assert world.ask(5, 1000.0)
 
 
-def test_after_the_death_of_its_meter_a_tenant_is_served_again_within_a_votes_validity():
+def test_tenant_is_served_within_vote_validity_after_meter_failure():
     world = World()
     world.advance(20)
     world.kill(0)
@@ -250,10 +250,10 @@
         world.advance(1)
         # The reserve of a standby meter serves until then.
         assert all(world.ask(number, 500.0) for number in range(5, 15))
-    assert world.clock.now - world.died_at[0] <= VOTE_SECONDS + 2 * TICK_SECONDS
+    assert world.clock.now - world.died_at[0] <= VOTE_VALIDITY_SECONDS + 2 * TICK_SECONDS
 
 
-def test_a_pause_of_the_meter_moves_no_votes_and_refuses_nothing():
+def test_pause_of_meter_moves_no_votes_and_refuses_no_requests():
     world = World()
     world.advance(20)
     world.frozen.add(0)
@@ -265,7 +265,7 @@
     assert world.nodes[1].authority.share() == 0.0
 
 
-def test_the_reserves_of_all_standby_meters_are_within_what_a_limit_may_be_exceeded_by():
+def test_standby_reserves_together_stay_within_allowed_excess():
     world = World()
     world.advance(20)
     world.frozen.add(0)
@@ -276,7 +276,7 @@
     assert 0 < passed <= RESERVE_SHARE * TOLERANCE.excess(LIMIT)
 
 
-def test_a_meter_that_stops_hands_its_votes_over_at_once():
+def test_stopping_meter_transfers_votes_immediately():
     world = World()
     world.advance(20)
     world.nodes[0].votes.release()
@@ -285,18 +285,18 @@
     assert world.nodes[1].authority.share() > 0.9
 
 
-def test_nodes_whose_votes_move_are_counted_once():
+def test_moved_votes_are_counted_once_in_fleet_size():
     world = World()
     # At first no node knows a relay, so each votes for itself.
     relays, world.relay_numbers[:] = list(world.relay_numbers), []
     world.advance(3)
     world.relay_numbers[:] = relays
     world.advance(20)
-    assert world.nodes[0].authority.fleet == NODES
+    assert world.nodes[0].authority.fleet_size == NODES
     assert world.nodes[0].authority.share() == 1.0
 
 
-def test_a_frozen_meter_that_wakes_has_no_authority_left():
+def test_resumed_meter_has_no_authority_left():
     world = World()
     world.advance(20)
     world.frozen.add(0)
@@ -309,14 +309,14 @@
     assert world.nodes[1].authority.share() > 0.9
 
 
-def test_a_node_that_never_heard_of_others_keeps_to_a_small_share():
+def test_node_with_unknown_fleet_size_assumes_default_fleet_size():
     clock = Clock()
     authority = VotedAuthority("9", lambda: ["1", "2"], lambda: 0.0, clock)
-    authority.vote("9")
+    authority.record_vote("9")
     assert authority.share() == pytest.approx(1 / UNKNOWN_FLEET)
 
 
-def test_all_restarted_begin_with_nothing_but_the_rate():
+def test_restart_of_all_nodes_allows_no_second_burst():
     world = World()
     world.advance(20)
     for number in range(NODES):
@@ -330,49 +330,49 @@
 
 
 def limits_of_one_node(clock: Clock, limits: dict[str, TenantLimit]) -> TenantLimits:
-    return TenantLimits(lambda: limits, WholeAuthority(clock), clock)
+    return TenantLimits(lambda: limits, SingleNodeAuthority(clock), clock)
 
 
-def test_the_most_urgent_kind_goes_first_at_the_limit():
+def test_highest_priority_is_admitted_first_at_the_limit():
     clock = Clock()
     limits = limits_of_one_node(clock, {"t": LIMIT})
     limits.update()
     clock.now += 10.0
-    limits.take(request(20_000.0, priority=1))
-    limits.take(request(900.0, priority=0))
+    limits.charge(request(20_000.0, priority=1))
+    limits.charge(request(900.0, priority=0))
     with pytest.raises(TenantLimited):
-        limits.take(request(900.0, priority=1))
+        limits.charge(request(900.0, priority=1))
 
 
-def test_refused_callers_are_told_turns_one_after_the_other():
+def test_refused_callers_receive_staggered_retry_times():
     clock = Clock()
     limits = limits_of_one_node(clock, {"t": LIMIT})
     limits.update()
     clock.now += 10.0
-    limits.take(request(20_000.0))
+    limits.charge(request(20_000.0))
     told = []
     for _ in range(5):
         with pytest.raises(TenantLimited) as caught:
-            limits.take(request(10_000.0))
+            limits.charge(request(10_000.0))
         told.append(caught.value.retry_seconds)
     assert told == pytest.approx([0.45, 0.95, 1.45, 1.95, 2.45])
 
 
-def test_a_lowered_limit_counts_at_once_and_a_new_tenant_begins_with_its_burst():
+def test_lowered_limit_applies_at_once_and_new_tenant_starts_with_full_burst():
     clock = Clock()
     now = {"t": LIMIT}
-    limits = TenantLimits(lambda: now, WholeAuthority(clock), clock)
+    limits = TenantLimits(lambda: now, SingleNodeAuthority(clock), clock)
     limits.update()
     clock.now += 10.0
     now = {"t": LIMIT._replace(rate=100.0, burst=1000.0), "new": LIMIT}
-    limits.take(request(1000.0))
+    limits.charge(request(1000.0))
     with pytest.raises(TenantLimited):
-        limits.take(request(1000.0))
-    limits.take(request(20_000.0, "new"))
+        limits.charge(request(1000.0))
+    limits.charge(request(20_000.0, "new"))
     with pytest.raises(TenantLimited):
-        limits.take(request(2000.0, "new"))
+        limits.charge(request(2000.0, "new"))
     now = {}
-    assert limits.take(request(1e9)) is None
+    assert limits.charge(request(1e9)) is None
 
 
 EVENT = st.one_of(
@@ -388,7 +388,7 @@
 )
 
 
-def strike(world: World, kind: str, number: int) -> None:
+def apply_fault(world: World, kind: str, number: int) -> None:
     """Have one event of a history happen."""
     match kind:
         case "kill":
@@ -414,12 +414,12 @@
     history=st.lists(st.tuples(EVENT, st.integers(1, 12)), min_size=1, max_size=8),
     seed=st.integers(0, 2**16),
 )
-def test_a_flooding_tenant_never_runs_more_than_the_bound(history, seed):
+def test_flooding_tenant_never_exceeds_bound(history, seed):
     source = random.Random(seed)
     world = World()
     world.advance(20)
     for (kind, number), ticks in history:
-        strike(world, kind, number)
+        apply_fault(world, kind, number)
         for _ in range(ticks):
             world.advance(1)
             for _ in range(40):
--- a/tests/unit/forwarding/test_worker_allowance.py
+++ b/tests/unit/forwarding/test_worker_allowance.py
@@ -7,15 +7,15 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.unit.forwarding.test_tenant_limits import EVENT, NODES, World, strike
+from tests.unit.forwarding.test_tenant_limits import EVENT, NODES, World, apply_fault
 from wheelslip.deployment import Incarnation
 from wheelslip.peers.dispatcher_health import NoDispatcher
 from wheelslip.peers.limit_votes import TICK_SECONDS
-from wheelslip.routing.limit_authority import VOTE_SECONDS, WholeAuthority
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.limit_authority import VOTE_VALIDITY_SECONDS, SingleNodeAuthority
+from wheelslip.routing.named_limits import WorkerRateLimits
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
-from wheelslip.routing.worker_allowance import PROBE_RATE, LimitedChoice, WorkerAllowance
+from wheelslip.routing.worker_allowance import PROBE_RATE, RateLimitedChoice, WorkerAllowance
 
 LIMITED, OTHER = Incarnation("a/1"), Incarnation("b/1")
 WINDOW_SECONDS = 4.0
@@ -40,8 +40,8 @@
         node = self.world.nodes[number]
         known = self._allowances.get(number)
         if known is None or known[0] is not node:
-            limits = NamedLimits(self.world.clock)
-            limits.note_limit(LIMITED, self.rate)
+            limits = WorkerRateLimits(self.world.clock)
+            limits.record_limit(LIMITED, self.rate)
             known = self._allowances[number] = (node, WorkerAllowance(limits, node.authority))
         return known[1]
 
@@ -70,7 +70,7 @@
 
     def _take(self, number: int) -> bool:
         allowance = self.allowance(number)
-        return not allowance.exhausted([LIMITED]) and allowance.take(LIMITED)
+        return not allowance.exhausted([LIMITED]) and allowance.charge(LIMITED)
 
     def run(self, ticks: int, source: random.Random) -> None:
         for _ in range(ticks):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.5, 1.0, 2.6, 20.0])
-def test_the_whole_limit_is_used_and_no_more(rate):
+def test_fleet_uses_full_limit_without_exceeding_it(rate):
     fleet = Fleet(rate)
     fleet.run(20, random.Random(1))
     fleet.sent_at.clear()
@@ -101,17 +101,17 @@
     seed=st.integers(0, 2**16),
     rate=st.sampled_from([0.0, 0.5, 1.0, 5.0, 40.0]),
 )
-def test_no_history_of_faults_gives_a_worker_more_than_the_bound(history, seed, rate):
+def test_worker_rate_stays_within_bound_under_any_fault_history(history, seed, rate):
     source = random.Random(seed)
     fleet = Fleet(rate)
     fleet.run(20, source)
     for (kind, number), ticks in history:
-        strike(fleet.world, kind, number)
+        apply_fault(fleet.world, kind, number)
         fleet.run(ticks, source)
     assert fleet.most_in_a_window() <= allowed(rate)
 
 
-def test_a_worker_is_used_again_soon_after_the_death_of_the_node_that_counted():
+def test_worker_receives_requests_soon_after_meter_failure():
     fleet = Fleet(4.0)
     fleet.run(20, random.Random(1))
     fleet.world.kill(0)
@@ -119,7 +119,7 @@
     fleet.sent_at.clear()
     while not fleet.sent_at:
         fleet.run(1, random.Random(2))
-    assert fleet.world.clock.now - killed_at <= VOTE_SECONDS + 4 * TICK_SECONDS + 1 / 4.0
+    assert fleet.world.clock.now - killed_at <= VOTE_VALIDITY_SECONDS + 4 * TICK_SECONDS + 1 / 4.0
 
 
 # One node
@@ -127,12 +127,12 @@
 
 @pytest.fixture
 def limits(clock):
-    return NamedLimits(clock)
+    return WorkerRateLimits(clock)
 
 
 @pytest.fixture
 def allowance(clock, limits):
-    return WorkerAllowance(limits, WholeAuthority(clock))
+    return WorkerAllowance(limits, SingleNodeAuthority(clock))
 
 
 def fill(clock, allowance) -> None:
@@ -145,46 +145,46 @@
     """Take all that there is; return how much it was."""
     count = 0
     while not allowance.exhausted([LIMITED]):
-        allowance.take(LIMITED)
+        allowance.charge(LIMITED)
         count += 1
     return count
 
 
-def test_a_new_limit_begins_with_nothing(allowance, limits):
-    limits.note_limit(LIMITED, 100.0)
+def test_new_limit_starts_with_empty_bucket(allowance, limits):
+    limits.record_limit(LIMITED, 100.0)
     assert allowance.exhausted([LIMITED, OTHER]) == {LIMITED}
 
 
-def test_a_lowered_limit_counts_at_once(allowance, limits, clock):
-    limits.note_limit(LIMITED, 100.0)
+def test_lowered_limit_applies_at_once(allowance, limits, clock):
+    limits.record_limit(LIMITED, 100.0)
     fill(clock, allowance)
-    limits.note_limit(LIMITED, 1.0)
+    limits.record_limit(LIMITED, 1.0)
     assert drained(allowance) == 1
 
 
-def test_a_limit_of_nothing_lets_a_trickle_through(allowance, limits, clock):
-    limits.note_limit(LIMITED, 0.0)
+def test_zero_limit_allows_probe_rate(allowance, limits, clock):
+    limits.record_limit(LIMITED, 0.0)
     fill(clock, allowance)
     assert drained(allowance) == 1
     clock.now += 1.01 / PROBE_RATE
     assert drained(allowance) == 1
 
 
-def test_what_was_never_sent_is_given_back(allowance, limits, clock):
-    limits.note_limit(LIMITED, 1.0)
+def test_refund_of_unsent_request_allows_another(allowance, limits, clock):
+    limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
     assert drained(allowance) == 1
-    allowance.give_back(LIMITED)
+    allowance.refund(LIMITED)
     assert drained(allowance) == 1
 
 
-def test_a_worker_without_a_limit_is_not_counted(allowance, limits, clock):
-    limits.note_limit(LIMITED, 1.0)
-    assert not allowance.take(OTHER)
+def test_worker_without_limit_is_not_charged(allowance, limits, clock):
+    limits.record_limit(LIMITED, 1.0)
+    assert not allowance.charge(OTHER)
     for _ in range(2):
         clock.now += 1.0
-        limits.note_no_limit(LIMITED, clock.now)
-    assert not allowance.exhausted([LIMITED, OTHER]) and not allowance.take(LIMITED)
+        limits.record_no_limit(LIMITED, clock.now)
+    assert not allowance.exhausted([LIMITED, OTHER]) and not allowance.charge(LIMITED)
 
 
 class _Placement:
@@ -204,18 +204,20 @@
 QUERY = PlacementQuery("s")
 
 
-def test_requests_go_to_other_workers_when_a_limit_is_used_up(allowance, limits, clock):
-    choice = LimitedChoice(_Placement(LIMITED, OTHER), allowance)
-    limits.note_limit(LIMITED, 1.0)
+def test_other_workers_are_chosen_when_limit_is_exhausted(allowance, limits, clock):
+    choice = RateLimitedChoice(_Placement(LIMITED, OTHER), allowance)
+    limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
     chosen = [choice.choose(QUERY, clock.now) for _ in range(3)]
     assert [one.worker.info.id for one in chosen] == [LIMITED, OTHER, OTHER]
     assert [one.is_counted for one in chosen] == [True, False, False]
 
 
-def test_callers_that_find_all_workers_at_their_limits_are_told_turns(allowance, limits, clock):
-    choice = LimitedChoice(_Placement(LIMITED), allowance)
-    limits.note_limit(LIMITED, 2.0)
+def test_callers_receive_staggered_retry_times_when_all_workers_are_exhausted(
+    allowance, limits, clock
+):
+    choice = RateLimitedChoice(_Placement(LIMITED), allowance)
+    limits.record_limit(LIMITED, 2.0)
     fill(clock, allowance)
     assert choice.choose(QUERY, clock.now).is_counted
     told = []
@@ -226,9 +228,9 @@
     assert told == pytest.approx([0.25, 0.75, 1.25, 1.75])
 
 
-def test_a_node_without_authority_uses_no_limited_worker(limits, clock):
-    nobody = SimpleNamespace(share=lambda: 0.0, seconds=lambda: 0.0)
-    choice = LimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, nobody))
-    limits.note_limit(LIMITED, 1000.0)
+def test_node_without_authority_uses_no_limited_worker(limits, clock):
+    nobody = SimpleNamespace(share=lambda: 0.0, weighted_seconds=lambda: 0.0)
+    choice = RateLimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, nobody))
+    limits.record_limit(LIMITED, 1000.0)
     clock.now += 100.0
     assert choice.choose(QUERY, clock.now) is None
--- a/tests/unit/forwarding/test_worker_notices.py
+++ b/tests/unit/forwarding/test_worker_notices.py
@@ -8,7 +8,7 @@
 from wheelslip.deployment import Incarnation
 from wheelslip.routing import worker_notices
 from wheelslip.routing.worker_notices import (
-    FIRST_AFTER_REST,
+    INITIAL_CONCURRENCY,
     MAX_REST_SECONDS,
     RECOVERED_SECONDS,
     WorkerNotices,
@@ -22,54 +22,54 @@
     return WorkerNotices(clock)
 
 
-def test_leaving_is_of_one_start_and_final(notices, clock):
-    assert notices.note_leaving(A)
-    assert not notices.note_leaving(A)
+def test_leaving_applies_to_one_incarnation_and_is_final(notices, clock):
+    assert notices.record_leaving(A)
+    assert not notices.record_leaving(A)
     clock.now += 1e6
     notices.expire()
     assert not notices.may_begin(A)
     assert notices.may_begin(LATER_A)
 
 
-def test_the_latest_end_of_several_rests_counts(notices, clock):
-    notices.note_rest(A, 3.0)
+def test_latest_end_of_several_backoffs_applies(notices, clock):
+    notices.record_backoff(A, 3.0)
     clock.now += 1.0
-    assert not notices.note_rest(A, 0.5), "an earlier end takes nothing back"
+    assert not notices.record_backoff(A, 0.5), "an earlier end takes nothing back"
     clock.now += 1.0
     assert not notices.may_begin(A)
-    assert notices.note_rest(A, 5.0)
+    assert notices.record_backoff(A, 5.0)
     clock.now += 4.9
     assert not notices.may_begin(A)
     clock.now += 0.2
     assert notices.may_begin(A)
 
 
-def test_requests_turned_away_together_are_one_piece_of_news(notices, clock):
-    assert notices.note_rest(A, 3.0)
+def test_nearly_simultaneous_backoffs_are_reported_once(notices, clock):
+    assert notices.record_backoff(A, 3.0)
     clock.now += 0.004
-    assert not notices.note_rest(A, 3.0)
-    assert notices.rest_until(A) == clock.now + 3.0
+    assert not notices.record_backoff(A, 3.0)
+    assert notices.backoff_until(A) == clock.now + 3.0
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0, float("nan")])
-def test_no_time_is_no_rest(notices, seconds):
-    notices.note_rest(A, seconds)
+def test_backoff_without_positive_duration_is_ignored(notices, seconds):
+    notices.record_backoff(A, seconds)
     assert notices.may_begin(A)
 
 
-def test_for_ever_is_the_longest_rest(notices, clock):
-    notices.note_rest(A, float("inf"))
+def test_infinite_backoff_is_capped(notices, clock):
+    notices.record_backoff(A, float("inf"))
     clock.now += MAX_REST_SECONDS + 0.1
     assert notices.may_begin(A)
 
 
-def test_the_first_requests_after_a_rest_are_few_then_twice_as_many_each_round(notices, clock):
+def test_concurrency_after_backoff_doubles_each_round(notices, clock):
     """7 of 20 requests that had waited at a worker with room for two were turned away after its rest.
 
     The number was doubled with each request served, so two that were served together made 4 and 8 of
     it before any of those four had an answer: "assert 7 <= 3", in 1 of 12 runs.
     """
-    notices.note_rest(A, 1.0)
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     for most in (1, 2, 4, 8):
         under_way = []
@@ -82,8 +82,8 @@
     assert notices.begin(A) is None, "nothing is counted any more"
 
 
-def test_each_that_is_served_lets_one_more_begin(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_each_served_request_admits_one_more(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     under_way = [notices.begin(A)]
     for most in range(2, 16):
@@ -93,8 +93,8 @@
         assert len(under_way) == most
 
 
-def test_who_is_not_served_lets_one_more_try_and_no_two(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_unserved_request_admits_only_one_replacement(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     for _ in range(5):
         turn = notices.begin(A)
@@ -102,11 +102,11 @@
         assert notices.end(turn, was_served=False)
 
 
-def test_what_began_before_a_second_rest_does_not_count_after_it(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_request_begun_before_second_backoff_is_not_counted_after_it(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     turn = notices.begin(A)
-    notices.note_rest(A, 1.0)
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     assert notices.may_begin(A)
     assert not notices.end(turn, was_served=True)
@@ -114,8 +114,8 @@
     assert not notices.may_begin(A)
 
 
-def test_a_request_that_never_ends_does_not_keep_a_worker_out_of_use(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_hanging_request_does_not_block_worker_after_recovery(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     notices.begin(A)
     clock.now += RECOVERED_SECONDS
@@ -123,19 +123,19 @@
     assert notices.withheld([A]) == frozenset()
 
 
-def test_an_ended_rest_is_told_once(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_ended_backoff_is_returned_once(notices, clock):
+    notices.record_backoff(A, 1.0)
     assert notices.expire() == []
     clock.now += 1.0
-    assert [one.start for one in notices.expire()] == [A]
+    assert [one.incarnation for one in notices.expire()] == [A]
     assert notices.expire() == []
 
 
-def test_what_is_kept_is_bounded_and_the_newest_stays(notices, monkeypatch):
+def test_stored_notices_are_bounded_and_newest_are_kept(notices, monkeypatch):
     monkeypatch.setattr(worker_notices, "MAX_STARTS", 3)
     for number in range(5):
-        notices.note_leaving(Incarnation(f"w-{number}"))
-        notices.note_rest(Incarnation(f"w-{number}"), 1.0 + number)
+        notices.record_leaving(Incarnation(f"w-{number}"))
+        notices.record_backoff(Incarnation(f"w-{number}"), 1.0 + number)
     assert [notices.is_leaving(Incarnation(f"w-{number}")) for number in range(5)] == [
         False,
         False,
@@ -145,7 +145,7 @@
     ]
     resting = [Incarnation(f"w-{number}") for number in range(2)]
     assert notices.withheld(resting) == frozenset()
-    assert notices.resting == 3
+    assert notices.backing_off_count == 3
 
 
 @st.composite
@@ -178,10 +178,10 @@
             case ("wait", seconds):
                 self.clock.now += seconds
             case ("leave", start):
-                self.notices.note_leaving(start)
+                self.notices.record_leaving(start)
                 self.leaving.add(start)
             case ("rest", start, seconds):
-                self.notices.note_rest(start, seconds)
+                self.notices.record_backoff(start, seconds)
                 ends_at = self.clock.now + min(seconds, MAX_REST_SECONDS)
                 self.ends_at[start] = max(ends_at, self.ends_at.get(start, ends_at))
             case ("begin", start) if self.notices.may_begin(start):
@@ -196,7 +196,7 @@
 
 
 @given(histories())
-def test_no_request_begins_in_a_rest_or_after_the_word_of_leaving(history):
+def test_no_request_begins_during_backoff_or_after_leaving_notice(history):
     promises = Promises()
     for step in history:
         promises.play(step)
@@ -206,12 +206,12 @@
             assert may_begin or start in promises.leaving or start in promises.ends_at
 
 
-def test_after_each_rest_only_the_first_may_begin(notices, clock):
+def test_initial_concurrency_applies_after_each_backoff(notices, clock):
     for _ in range(3):
-        notices.note_rest(A, 1.0)
+        notices.record_backoff(A, 1.0)
         clock.now += 1.0
         begun = 0
         while notices.may_begin(A):
             notices.begin(A)
             begun += 1
-        assert begun == FIRST_AFTER_REST
+        assert begun == INITIAL_CONCURRENCY
--- a/tests/unit/test_retry_and_limits.py
+++ b/tests/unit/test_retry_and_limits.py
@@ -18,7 +18,7 @@
 from wheelslip.wire import FrameError, decode_frame, encode_frame
 
 
-def test_retries_are_a_share_of_first_attempts():
+def test_retries_stay_within_share_of_first_attempts():
     budget = RetryBudget()
     retries = 0
     for _ in range(1000):
@@ -35,7 +35,7 @@
     assert len(set(pauses)) > 300
 
 
-def test_circuit_opens_after_failures_and_tries_again():
+def test_circuit_opens_after_failures_and_allows_probe_after_delay():
     circuit = Circuit("i1")
     source = random.Random(1)
     opened = [circuit.record_failure(10.0, source) for _ in range(CIRCUIT_FAILURES)]
@@ -45,11 +45,11 @@
     assert circuit.allows(10.0)
 
 
-def test_bucket_holds_its_rate_and_tells_when_to_come_back():
+def test_bucket_limits_rate_and_returns_wait():
     bucket = TokenBucket(rate=2.0, capacity=4.0, level=4.0)
-    admitted = sum(bucket.take(1, second / 100) == 0 for second in range(1000))
+    admitted = sum(bucket.acquire(1, second / 100) == 0 for second in range(1000))
     assert admitted == pytest.approx(4 + 2 * 10, abs=1)
-    waits = [bucket.take(1, 10.0) for _ in range(6)]
+    waits = [bucket.acquire(1, 10.0) for _ in range(6)]
     assert 0 < waits[-1] <= 0.5
 
 
@@ -57,7 +57,7 @@
     return EngineSnapshot(name, "m", version, phase, running)
 
 
-def test_rollout_holds_a_few_and_leaves_one_serving():
+def test_rollout_holds_limited_number_and_leaves_one_serving():
     engines = [snapshot(name) for name in "abcd"]
     orders = next_orders(engines, {"m": "v2"}, 2)
     assert orders == [Order("a", OrderKind.HOLD), Order("b", OrderKind.HOLD)]
@@ -65,7 +65,7 @@
     assert len(next_orders(engines[:1], {"m": "v2"}, 2)) == 1
 
 
-def test_rollout_loads_only_an_empty_engine_and_serves_only_the_new_version():
+def test_rollout_loads_only_idle_engine_and_serves_only_new_version():
     held = snapshot("a", phase=EnginePhase.HELD, running=3)
     others = [snapshot("b", "v2")]
     assert next_orders([held, *others], {"m": "v2"}, 1) == []
@@ -80,7 +80,7 @@
     assert next_orders([snapshot("a", phase=EnginePhase.LEAVING)], {"m": "v2"}, 1) == []
 
 
-def test_frames_round_trip_and_refuse_what_is_no_frame():
+def test_frames_round_trip_and_invalid_frames_are_rejected():
     frame = encode_frame({"a": 1})
     assert frame == b'7:{"a":1},'
     assert decode_frame(frame, dict) == {"a": 1}
