--- a/src/wheelslip/routing/crash_ledger.py
+++ b/src/wheelslip/routing/crash_ledger.py
@@ -1,9 +1,11 @@
-"""Which contents of requests ended the engines that ran them, as far as a node knows.
+"""Records which requests, identified by fingerprint, crashed the workers that ran them.
 
-Each crash is one pair of a content and a start of an engine, so nodes that learn of the same one
-count it once. A whole run clears the pairs that its content had until then: an engine that ends takes
-all that ran there with it, and most of that is harmless. Pairs and clearings are only ever added,
-so it does not matter in which order they come. Pure state: no sockets, the clock is injected.
+A crash is a pair of a request fingerprint and a worker incarnation, so a crash that several nodes
+report counts once. A completed run of a request clears all earlier crashes of its fingerprint,
+because a worker that crashes takes all its requests with it, and most of them are harmless. Crashes
+and clearings are only ever added, so nodes reach the same result in whichever order they arrive.
+
+The module does no I/O; the clock is injected.
 """
 
 import enum
@@ -12,45 +14,41 @@
 
 from wheelslip.deployment import Incarnation
 
-TRIAL_FROM = 2
-"""From so many engines on, a content runs at one engine at a time in the whole fleet, and no other
-suspected one beside it: what only ran beside the cause is told from it. One engine may end for any
-reason, with all that runs there."""
+TRIAL_THRESHOLD = 2
+"""Number of crashes from which a fingerprint is suspected. The fleet runs one suspected request of a
+service at a time, so that causes can be told apart. A single crash may have any cause."""
 
-REFUSED_FROM = 3
-"""From so many on it is refused, if one of them ended while the content ran alone in that sense, and
-all else that ran there has run whole since: several engines that lose power at one moment all end
-under what is asked for often, and a content that ends engines may run beside for the first time (one
-that was not under suspicion yet had a harmless one refused in 1 of 16 randomised runs of processes)."""
+REFUSAL_THRESHOLD = 3
+"""Number of crashes from which a fingerprint is refused, provided that one occurred while it ran
+alone and that everything else at that worker has been cleared since. Without this condition, a
+popular request would be refused after several workers fail at once for an unrelated reason."""
 
-REFUSED_FROM_ALONE = 2
-"""From so many that ended while it ran alone it is refused whatever else ran there. With 1, a content
-that ran beside three deadly ones at two engines was refused in 1 of 26 randomised runs of processes."""
+ALONE_REFUSAL_THRESHOLD = 2
+"""Number of crashes while running alone that prove the cause, whatever else ran at the workers."""
 
-REFUSED_SECONDS = 60.0
-"""So long after the first engine that ended under it alone one request is tried again, and twice as
-long after each further one: a mended engine gets the content back, and what had bad luck too."""
+BASE_REFUSAL_SECONDS = 60.0
+"""Refusal period after the first crash while running alone, doubled by each further one. After it,
+trials are allowed again, since the workers may have been repaired."""
 
-MAX_REFUSED_SECONDS = 600.0
-"""No refusal lasts longer: an engine that is not mended ends once in that time."""
+MAX_REFUSAL_SECONDS = 600.0
+"""Upper bound of the refusal period, and so of the rate of crashes at a worker that stays faulty."""
 
 REPORT_WAIT_SECONDS = 1.0
-"""A verdict waits so long for what other nodes lost at the same engine, where another content could be
-suspected by that: the news come 0.1 to 0.3 s later by the store. Without it a harmless content that
-shared an engine with a deadly one was refused for 3.4 s in 1 of 53 randomised runs of processes."""
+"""Time for which a refusal waits for other nodes to report what else ran at the crashed worker, if
+such a report could make another fingerprint a suspect."""
 
-FORGOTTEN_SECONDS = 3600.0
-"""A content under which no engine has ended for so long is forgotten."""
+RETENTION_SECONDS = 3600.0
+"""Time after its last crash at which a fingerprint is deleted."""
 
 MAX_FINGERPRINTS = 4096
-"""Most contents kept, some 1 MB; those with the fewest crashes go first, the oldest of them before
-others."""
+"""Maximum number of stored fingerprints. Those with the fewest uncleared crashes are evicted first,
+and among them the oldest."""
 
 
 class Crash(NamedTuple):
-    """A start of an engine that ended while it ran a content.
+    """A worker incarnation that ended while it ran a request with a fingerprint.
 
-    :ivar alone: no other suspected content ran then.
+    :ivar alone: no other suspected fingerprint ran at the time.
     """
 
     fingerprint: str
@@ -58,13 +56,13 @@
     alone: bool = False
 
 
-class _Seen(NamedTuple):
-    at: float
+class _CrashRecord(NamedTuple):
+    recorded_at: float
     alone: bool
 
 
 class FingerprintStatus(enum.Enum):
-    """What is done with a request of a content."""
+    """How requests with a fingerprint are handled."""
 
     FREE = "free"
     TRIAL = "trial"
@@ -72,132 +70,155 @@
 
 
 class CrashLedger:
-    """Crashes by content.
+    """Crashes by request fingerprint.
 
     :param clock: steady clock in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
-        self._seen: dict[str, dict[Incarnation, _Seen]] = {}
+        self._records: dict[str, dict[Incarnation, _CrashRecord]] = {}
         self._cleared: dict[str, set[Incarnation]] = {}
-        self._ran_at: dict[Incarnation, set[str]] = {}
+        self._fingerprints: dict[Incarnation, set[str]] = {}
 
     def __len__(self) -> int:
-        """Return the number of contents that are known, cleared ones included."""
-        return len(self._seen)
+        """Return the number of stored fingerprints, including cleared ones."""
+        return len(self._records)
 
     def record(self, crash: Crash) -> bool:
-        """Take a crash; return whether it is news."""
-        starts = self._seen.setdefault(crash.fingerprint, {})
-        known = starts.get(crash.incarnation)
-        if known is not None and known.alone >= crash.alone:
+        """Record a crash; return whether it adds information."""
+        records = self._records.setdefault(crash.fingerprint, {})
+        current = records.get(crash.incarnation)
+        if current is not None and current.alone >= crash.alone:
             return False
-        starts[crash.incarnation] = _Seen(self._clock(), crash.alone)
-        self._ran_at.setdefault(crash.incarnation, set()).add(crash.fingerprint)
+        records[crash.incarnation] = _CrashRecord(self._clock(), crash.alone)
+        self._fingerprints.setdefault(crash.incarnation, set()).add(crash.fingerprint)
         self._trim()
         return True
 
     def clear(self, crashes: Iterable[Crash]) -> None:
-        """Take what a whole run has cleared, here or at another node."""
-        is_news = False
-        for one in crashes:
-            cleared = self._cleared.setdefault(one.fingerprint, set())
-            is_news = is_news or one.incarnation not in cleared
-            cleared.add(one.incarnation)
-            seen = _Seen(self._clock(), one.alone)
-            self._seen.setdefault(one.fingerprint, {}).setdefault(one.incarnation, seen)
-        if is_news:
+        """Record crashes that a completed run has cleared, at this node or another."""
+        is_new = False
+        for crash in crashes:
+            cleared = self._cleared.setdefault(crash.fingerprint, set())
+            is_new = is_new or crash.incarnation not in cleared
+            cleared.add(crash.incarnation)
+            record = _CrashRecord(self._clock(), crash.alone)
+            self._records.setdefault(crash.fingerprint, {}).setdefault(crash.incarnation, record)
+        if is_new:
             self._trim()
 
-    def crashes(self, content: str) -> list[Crash]:
-        """Return the crashes of a content that no whole run has cleared, the oldest first."""
-        return [Crash(content, start, one.alone) for start, one in self._open(content).items()]
+    def crashes(self, fingerprint: str) -> list[Crash]:
+        """Return the uncleared crashes of a fingerprint, the oldest first."""
+        return [
+            Crash(fingerprint, incarnation, record.alone)
+            for incarnation, record in self._uncleared(fingerprint).items()
+        ]
 
-    def status(self, content: str) -> FingerprintStatus:
-        """Return what is done with a request of a content now."""
-        count = len(self._open(content))
-        if count < TRIAL_FROM:
+    def status(self, fingerprint: str) -> FingerprintStatus:
+        """Return how requests with a fingerprint are handled now."""
+        count = len(self._uncleared(fingerprint))
+        if count < TRIAL_THRESHOLD:
             return FingerprintStatus.FREE
-        if count < REFUSED_FROM or self.refused_seconds(content) <= 0:
+        if count < REFUSAL_THRESHOLD or self.refused_seconds(fingerprint) <= 0:
             return FingerprintStatus.TRIAL
-        return FingerprintStatus.REFUSED if self._is_the_cause(content) else FingerprintStatus.TRIAL
+        return (
+            FingerprintStatus.REFUSED
+            if self._is_proven_cause(fingerprint)
+            else FingerprintStatus.TRIAL
+        )
 
-    def _is_the_cause(self, content: str) -> bool:
-        """Whether engines ended under a content while nothing else can have been the cause."""
-        alone = [start for start, one in self._open(content).items() if one.alone]
-        if len(alone) >= REFUSED_FROM_ALONE:
+    def _is_proven_cause(self, fingerprint: str) -> bool:
+        """Return whether workers crashed when nothing else can have been the cause."""
+        alone = [
+            incarnation
+            for incarnation, record in self._uncleared(fingerprint).items()
+            if record.alone
+        ]
+        if len(alone) >= ALONE_REFUSAL_THRESHOLD:
             return True
         return any(
-            not self._others_open(content, start) and not self._awaits_news(content, start)
-            for start in alone
+            not self._has_other_suspects(fingerprint, incarnation)
+            and not self._awaits_reports(fingerprint, incarnation)
+            for incarnation in alone
         )
 
-    def _awaits_news(self, content: str, start: Incarnation) -> bool:
-        """Whether news of another content at the same start may still come, and would matter."""
-        if self._clock() >= self._seen[content][start].at + REPORT_WAIT_SECONDS:
+    def _awaits_reports(self, fingerprint: str, incarnation: Incarnation) -> bool:
+        """Return whether a pending report could name another suspect at a crashed worker."""
+        if self._clock() >= (
+            self._records[fingerprint][incarnation].recorded_at + REPORT_WAIT_SECONDS
+        ):
             return False
-        # What a clearing told of is known too, whichever of it and the crash came first.
+        # A cleared crash counts as reported, whether the crash or its clearing arrived first.
         return any(
-            len(self._open(other)) >= TRIAL_FROM - 1
-            for other, starts in self._seen.items()
-            if other != content and start not in starts
+            len(self._uncleared(other)) >= TRIAL_THRESHOLD - 1
+            for other, records in self._records.items()
+            if other != fingerprint and incarnation not in records
         )
 
-    def pending_report_seconds(self, content: str) -> float:
-        """Return for how long the verdict on a content still waits for news, at most."""
-        starts = [start for start, one in self._open(content).items() if one.alone]
+    def pending_report_seconds(self, fingerprint: str) -> float:
+        """Return the longest time for which a refusal still waits for reports of other nodes."""
+        alone = [key for key, record in self._uncleared(fingerprint).items() if record.alone]
         waits = [
-            self._seen[content][one].at + REPORT_WAIT_SECONDS - self._clock()
-            for one in starts
-            if self._awaits_news(content, one)
+            self._records[fingerprint][incarnation].recorded_at
+            + REPORT_WAIT_SECONDS
+            - self._clock()
+            for incarnation in alone
+            if self._awaits_reports(fingerprint, incarnation)
         ]
         return max(waits, default=0.0)
 
-    def ended_at(self, start: Incarnation) -> float | None:
-        """Return when this node learned that a start of an engine has ended, ``None`` if it has not."""
-        contents = self._ran_at.get(start, ())
-        return min((self._seen[one][start].at for one in contents), default=None)
+    def ended_at(self, incarnation: Incarnation) -> float | None:
+        """Return when this node learned that a worker crashed, ``None`` if it did not."""
+        fingerprints = self._fingerprints.get(incarnation, ())
+        return min(
+            (self._records[fingerprint][incarnation].recorded_at for fingerprint in fingerprints),
+            default=None,
+        )
 
-    def _others_open(self, content: str, start: Incarnation) -> bool:
-        """Whether another content ran at a start that ended and has not run whole since."""
-        others = self._ran_at.get(start, set()) - {content}
-        return any(start in self._open(other) for other in others)
+    def _has_other_suspects(self, fingerprint: str, incarnation: Incarnation) -> bool:
+        """Return whether another fingerprint has an uncleared crash at the same incarnation."""
+        others = self._fingerprints.get(incarnation, set()) - {fingerprint}
+        return any(incarnation in self._uncleared(other) for other in others)
 
-    def refused_seconds(self, content: str) -> float:
-        """Return the seconds until a refused content may be tried again, 0 for one that is not."""
-        alone = [one.at for one in self._open(content).values() if one.alone]
-        if not alone:
+    def refused_seconds(self, fingerprint: str) -> float:
+        """Return the time until the refusal period ends, 0 if there is none."""
+        times = [
+            record.recorded_at for record in self._uncleared(fingerprint).values() if record.alone
+        ]
+        if not times:
             return 0.0
-        seconds = min(MAX_REFUSED_SECONDS, REFUSED_SECONDS * 2 ** (len(alone) - 1))
-        return max(0.0, max(alone) + seconds - self._clock())
+        seconds = min(MAX_REFUSAL_SECONDS, BASE_REFUSAL_SECONDS * 2 ** (len(times) - 1))
+        return max(0.0, max(times) + seconds - self._clock())
 
     def refused_count(self) -> int:
-        """Return the number of contents that are refused now."""
-        return sum(self.status(one) is FingerprintStatus.REFUSED for one in self._seen)
+        """Return the number of fingerprints that are refused now."""
+        return sum(
+            self.status(fingerprint) is FingerprintStatus.REFUSED for fingerprint in self._records
+        )
 
-    def _open(self, content: str) -> dict[Incarnation, _Seen]:
-        cleared = self._cleared.get(content, set())
-        starts = self._seen.get(content, {})
-        return {start: one for start, one in starts.items() if start not in cleared}
+    def _uncleared(self, fingerprint: str) -> dict[Incarnation, _CrashRecord]:
+        cleared = self._cleared.get(fingerprint, set())
+        records = self._records.get(fingerprint, {})
+        return {key: record for key, record in records.items() if key not in cleared}
 
     def _trim(self) -> None:
-        oldest = self._clock() - FORGOTTEN_SECONDS
-        for content in [one for one in self._seen if self._last(one) < oldest]:
-            self._forget(content)
-        while len(self._seen) > MAX_FINGERPRINTS:
-            self._forget(min(self._seen, key=self._worth_keeping))
-
-    def _last(self, content: str) -> float:
-        return max(one.at for one in self._seen[content].values())
-
-    def _worth_keeping(self, content: str) -> tuple[int, float]:
-        return len(self._open(content)), self._last(content)
-
-    def _forget(self, content: str) -> None:
-        for start in self._seen.pop(content):
-            contents = self._ran_at.get(start, set())
-            contents.discard(content)
-            if not contents:
-                self._ran_at.pop(start, None)
-        self._cleared.pop(content, None)
+        oldest = self._clock() - RETENTION_SECONDS
+        for fingerprint in [key for key in self._records if self._last_crash_at(key) < oldest]:
+            self._delete(fingerprint)
+        while len(self._records) > MAX_FINGERPRINTS:
+            self._delete(min(self._records, key=self._retention_key))
+
+    def _last_crash_at(self, fingerprint: str) -> float:
+        return max(record.recorded_at for record in self._records[fingerprint].values())
+
+    def _retention_key(self, fingerprint: str) -> tuple[int, float]:
+        return len(self._uncleared(fingerprint)), self._last_crash_at(fingerprint)
+
+    def _delete(self, fingerprint: str) -> None:
+        for incarnation in self._records.pop(fingerprint):
+            fingerprints = self._fingerprints.get(incarnation, set())
+            fingerprints.discard(fingerprint)
+            if not fingerprints:
+                self._fingerprints.pop(incarnation, None)
+        self._cleared.pop(fingerprint, None)
--- a/src/wheelslip/routing/limit_authority.py
+++ b/src/wheelslip/routing/limit_authority.py
@@ -1,44 +1,48 @@
-"""How much of the tenants' limits one node may give out. Pure: the clock is injected.
+"""Share of the rate limits that a node may grant, derived from votes of the nodes.
 
-Each node gives its vote to one meter at a time, for a short while, and to another only when
-that while is over. A meter may give out the share of each limit that its valid votes are of
-all nodes. So whatever is lost, frozen or cut off, the shares of all meters never add up to
-more than the whole, and a meter that stops answering loses its share within the validity of a
-vote, without the store. Nearly always all nodes vote for one meter, which then counts exactly.
+Requests are counted against limits by one node, the meter. Each node votes for one meter at a
+time; a vote is valid for a short while and cannot move to another meter until it has expired or the
+meter has returned it. A meter may grant the fraction of each limit that its valid votes are of all
+nodes. The shares of all meters therefore never exceed the limit, whatever messages are lost and
+whichever nodes are paused or partitioned, and an unreachable meter loses its share when its votes
+expire, without a call to the store. In normal operation all nodes vote for the same meter, which
+then counts exactly.
+
+The module does no I/O; the clock is injected.
 """
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
 VOTE_VALIDITY_SECONDS = 0.8
-"""Validity of a vote. A meter that dies leaves its tenants without a meter for so long; nodes
-vote three times within it, so that two lost datagrams cost nothing."""
+"""Lifetime of a vote, and the longest time without a meter after one fails. Nodes vote three times
+within it, so that two lost datagrams in a row do no harm."""
 
-FLEET_MEMORY_SECONDS = 20.0
-"""Nodes that vote no longer count as part of the fleet for this long: they may be cut off, and
-vote for another meter. Cuts on the played days last 5 to 14 s."""
+FLEET_SIZE_RETENTION_SECONDS = 20.0
+"""Time for which the fleet size does not fall below the last observed number of voters. Missing
+voters may be partitioned and vote for another meter."""
 
-UNKNOWN_FLEET = 380
-"""Nodes that a meter assumes which has never heard how many there are: the size that the
-project is designed for (DEVELOPERS.md)."""
+DEFAULT_FLEET_SIZE = 380
+"""Fleet size assumed by a meter that has not received one."""
 
-TOLD_SECONDS = 0.4
-"""Another meter's number of votes counts for this long: meters tell it each quarter of a second.
-A node that leaves a silent meter votes for the next one later than that, so none counts twice."""
+PEER_VOTES_VALIDITY_SECONDS = 0.4
+"""Lifetime of the vote count that another meter reports every quarter of a second. A node that
+leaves an unresponsive meter votes for another one later than this, so no node is counted twice."""
 
 VOTE_OVERAGE_SHARE = 0.25
-"""Part of the overage that makes up for votes that are lost on the way; the rest of what a
-limit may be exceeded by is for the standby meters (``tenant_limits``)."""
+"""Fraction of the allowed overage that compensates for lost votes. The rest is for the reserves of
+the standby meters (:mod:`wheelslip.routing.tenant_limits`)."""
 
-ROLE_SECONDS = 0.1
-"""How often a meter looks up its place among the relays."""
+ROLE_REFRESH_SECONDS = 0.1
+"""Interval at which a meter looks up its position among the relays."""
 
 
 class Authority(Protocol):
-    """How much of each limit a node may give out.
+    """The share of each limit that a node may grant.
 
-    :ivar fleet: the number of nodes, as far as this one knows; 0 while it knows nothing.
-    :ivar standby_share: this node's share among the meters that stand by, 0 if it is none.
+    :ivar fleet_size: number of nodes, 0 while unknown.
+    :ivar standby_share: fraction of the standby reserve that belongs to this node, 0 if it is no
+        standby meter.
     """
 
     fleet_size: int
@@ -46,17 +50,17 @@
     standby_share: float
 
     def update_fleet_size(self, nodes: int) -> None:
-        """Take the number of nodes from another node that counts."""
+        """Accept the number of nodes that another meter reports."""
 
     def share(self) -> float:
         """Return the share of each limit, from 0 to 1."""
 
     def weighted_seconds(self) -> float:
-        """Return the seconds for which this node has had the whole, or as much in parts."""
+        """Return the time integral of the share, in seconds."""
 
 
 class SingleNodeAuthority:
-    """The authority of a node that is the only one."""
+    """The authority of the only node of a deployment."""
 
     fleet_size = 1
     standby_share = 0.0
@@ -65,30 +69,31 @@
         self._clock = clock
 
     def update_fleet_size(self, nodes: int) -> None:
-        """Pass it over: there is no other node."""
+        """Ignore the report, since there is no other node."""
 
     def share(self) -> float:
-        """Return the whole."""
+        """Return 1."""
         return 1.0
 
     def weighted_seconds(self) -> float:
-        """Return the time."""
+        """Return the current time, since the share is always 1."""
         return self._clock()
 
 
-class _Told(NamedTuple):
+class _PeerVotes(NamedTuple):
     votes: int
-    fresh_until: float
+    valid_until: float
 
 
 class VotedAuthority:
-    """Authority by the votes of nodes.
-
-    :param address: of this node.
-    :param relays: returns the addresses of the nodes that may be voted for, the first to be
-        chosen first.
-    :param overage: part of a limit by which it may be exceeded.
-    :ivar released: this node has given its votes back and takes no more.
+    """Authority derived from the votes that this node holds.
+
+    :param address: address of this node.
+    :param relays: returns the addresses of the nodes that may act as meter, the preferred one
+        first.
+    :param overage: returns the fraction by which a limit may be exceeded.
+    :param clock: steady clock in seconds.
+    :ivar released: this node has returned its votes and accepts no others.
     """
 
     def __init__(
@@ -103,41 +108,41 @@
         self._overage = overage
         self._clock = clock
         self._votes: dict[str, float] = {}
-        self._told: dict[str, _Told] = {}
-        self._fleet = 0
-        self._fleet_seen_at = clock()
-        self._fleet_told = False
-        self._role_until = float("-inf")
-        self._is_first = False
+        self._peer_votes: dict[str, _PeerVotes] = {}
+        self._fleet_size = 0
+        self._fleet_size_updated_at = clock()
+        self._fleet_size_reported = False
+        self._role_valid_until = float("-inf")
+        self._is_preferred = False
         self._standby_share = 0.0
         self._share = 0.0
-        self._seconds = 0.0
+        self._weighted_seconds = 0.0
         self._advanced_at = clock()
         self.released = False
 
     @property
     def fleet_size(self) -> int:
-        """The number of nodes, as far as this one knows; 0 while it knows nothing."""
-        return self._fleet
+        """The number of nodes, 0 while unknown."""
+        return self._fleet_size
 
     @property
     def standby_share(self) -> float:
-        """This node's share among the meters that stand by, 0 if it is none."""
-        self._look_up_role(self._clock())
+        """The fraction of the standby reserve of this node, 0 if it is no standby meter."""
+        self._refresh_role(self._clock())
         return 0.0 if self.released else self._standby_share
 
     def voters(self) -> list[str]:
-        """Return the nodes whose votes are valid."""
+        """Return the addresses of the nodes whose votes are valid."""
         self._expire(self._clock())
         return list(self._votes)
 
     def _expire(self, now: float) -> None:
-        """Forget the votes that hold no longer; they are in the order in which they came."""
+        """Delete expired votes; the votes are ordered by expiry."""
         while self._votes and next(iter(self._votes.values())) <= now:
             del self._votes[next(iter(self._votes))]
 
     def record_vote(self, node: str) -> None:
-        """Take a node's vote."""
+        """Record or renew the vote of a node."""
         self._advance()
         if self.released:
             return
@@ -146,23 +151,28 @@
         self._advance()
 
     def remaining_validity_seconds(self) -> float:
-        """Return how long the last of the votes holds."""
+        """Return the time until the latest vote expires."""
         return next(reversed(self._votes.values()), self._clock()) - self._clock()
 
     def record_peer_votes(self, meter: str, votes: int, seconds: float) -> None:
-        """Take another meter's number of valid votes, and how long the last of them holds."""
-        self._told[meter] = _Told(votes, self._clock() + min(TOLD_SECONDS, seconds))
-        self._fleet_told = True
+        """Record the number of valid votes that another meter holds.
+
+        :param seconds: time until the latest of these votes expires.
+        """
+        self._peer_votes[meter] = _PeerVotes(
+            votes, self._clock() + min(PEER_VOTES_VALIDITY_SECONDS, seconds)
+        )
+        self._fleet_size_reported = True
         self._advance()
 
     def update_fleet_size(self, nodes: int) -> None:
-        """Take the number of nodes from the meter that this node votes for."""
-        if nodes and not self._is_first:
-            self._fleet, self._fleet_told = nodes, True
-            self._fleet_seen_at = self._clock()
+        """Accept the number of nodes from the meter that this node votes for."""
+        if nodes and not self._is_preferred:
+            self._fleet_size, self._fleet_size_reported = nodes, True
+            self._fleet_size_updated_at = self._clock()
 
     def release(self) -> list[str]:
-        """Give all votes back for good; return whose they were."""
+        """Return all votes permanently; return the addresses of their voters."""
         self._advance()
         voters = self.voters()
         self.released = True
@@ -171,49 +181,51 @@
         return voters
 
     def share(self) -> float:
-        """Return the share of each limit that this node may give out."""
+        """Return the share of each limit that this node may grant."""
         self._advance()
         return self._share
 
     def weighted_seconds(self) -> float:
-        """Return the time for which this node had authority, weighted by its share."""
+        """Return a lower bound of the time integral of this node's share, in seconds."""
         self._advance()
-        return self._seconds
+        return self._weighted_seconds
 
     def _advance(self) -> None:
-        """Count the time since the last look with the lesser of the shares then and now."""
+        """Integrate the time since the last call with the lesser of the old and new share."""
         now = self._clock()
-        share = self._share_now(now)
-        self._seconds += min(self._share, share) * (now - self._advanced_at)
+        share = self._current_share(now)
+        self._weighted_seconds += min(self._share, share) * (now - self._advanced_at)
         self._share, self._advanced_at = share, now
 
-    def _share_now(self, now: float) -> float:
+    def _current_share(self, now: float) -> float:
         if self.released:
             return 0.0
-        self._look_up_role(now)
+        self._refresh_role(now)
         self._expire(now)
         votes = len(self._votes)
-        self._note_total(votes, now)
-        fleet = self._fleet
-        if not self._is_first and not self._fleet_told:
-            fleet = max(fleet, UNKNOWN_FLEET)
+        self._observe_fleet_size(votes, now)
+        fleet_size = self._fleet_size
+        if not self._is_preferred and not self._fleet_size_reported:
+            fleet_size = max(fleet_size, DEFAULT_FLEET_SIZE)
         if not votes:
             return 0.0
-        return min(1.0, votes / fleet * (1.0 + VOTE_OVERAGE_SHARE * self._overage()))
+        return min(1.0, votes / fleet_size * (1.0 + VOTE_OVERAGE_SHARE * self._overage()))
 
-    def _look_up_role(self, now: float) -> None:
-        if now < self._role_until:
+    def _refresh_role(self, now: float) -> None:
+        if now < self._role_valid_until:
             return
-        self._role_until = now + ROLE_SECONDS
+        self._role_valid_until = now + ROLE_REFRESH_SECONDS
         relays = self._relays()
-        self._is_first = relays[:1] == [self._address]
-        is_standby = self._address in relays and not self._is_first
+        self._is_preferred = relays[:1] == [self._address]
+        is_standby = self._address in relays and not self._is_preferred
         self._standby_share = 1.0 / (len(relays) - 1) if is_standby else 0.0
 
-    def _note_total(self, votes: int, now: float) -> None:
-        """Keep the number of nodes: it rises at once, and falls late and by a majority only."""
-        total = votes + sum(one.votes for one in self._told.values() if now < one.fresh_until)
-        has_majority = 2 * votes >= self._fleet
-        is_old = now - self._fleet_seen_at > FLEET_MEMORY_SECONDS
-        if total >= self._fleet or (is_old and has_majority):
-            self._fleet, self._fleet_seen_at = total, now
+    def _observe_fleet_size(self, votes: int, now: float) -> None:
+        """Raise the fleet size at once; lower it only after a delay and with a majority."""
+        total = votes + sum(
+            peer.votes for peer in self._peer_votes.values() if now < peer.valid_until
+        )
+        has_majority = 2 * votes >= self._fleet_size
+        is_old = now - self._fleet_size_updated_at > FLEET_SIZE_RETENTION_SECONDS
+        if total >= self._fleet_size or (is_old and has_majority):
+            self._fleet_size, self._fleet_size_updated_at = total, now
--- a/src/wheelslip/routing/limits.py
+++ b/src/wheelslip/routing/limits.py
@@ -1,7 +1,8 @@
-"""The token bucket behind all tenants' limits.
+"""Token bucket used by all rate limits.
 
-How much of a limit a node may give out is decided elsewhere: by this node's share on the
-OpenAI path, by votes of the nodes on the forwarding path (``tenant_limits``).
+The callers determine the part of a limit that a node may grant: on the OpenAI path it is the node's
+share of the limit, on the forwarding path it follows from votes of the nodes
+(:mod:`wheelslip.routing.limit_authority`).
 """
 
 from dataclasses import dataclass
@@ -9,7 +10,7 @@
 
 @dataclass
 class TokenBucket:
-    """Allows ``rate`` units a second on average, with a burst of ``capacity`` units."""
+    """Allows ``rate`` units per second on average, with a burst of ``capacity`` units."""
 
     rate: float
     capacity: float
@@ -17,17 +18,18 @@
     updated_at: float = 0.0
 
     def refill(self, now: float) -> None:
-        """Add what has come since the last time."""
+        """Add the units accrued since the last refill."""
         self.level = min(self.capacity, self.level + (now - self.updated_at) * self.rate)
         self.updated_at = now
 
     def acquire(self, amount: float, now: float, overdraft: float = 0.0) -> float:
-        """Take ``amount`` if it is there; return 0, or the seconds until it will be.
+        """Take ``amount`` units if they are available.
 
-        :param overdraft: how far the level may fall below zero by this.
+        :param overdraft: how far the level may fall below zero.
+        :return: 0 if the units were taken, otherwise the seconds until they are available.
         """
         self.refill(now)
-        # An amount above the capacity passes once the bucket is full, and leaves a debt.
+        # An amount above the capacity is granted from a full bucket and leaves a negative level.
         needed = min(amount, self.capacity) - overdraft
         if self.level < needed:
             return (needed - self.level) / self.rate
@@ -35,11 +37,11 @@
         return 0.0
 
     def refund(self, amount: float) -> None:
-        """Put back what was taken and not used."""
+        """Return units that were acquired but not used."""
         self.level = min(self.capacity, self.level + amount)
 
     def set_rate(self, rate: float, capacity: float) -> None:
-        """Change the rate; a full bucket stays full."""
+        """Change rate and capacity, keeping the relative fill level."""
         if self.capacity > 0:
             self.level *= capacity / self.capacity
         self.rate = rate
--- a/src/wheelslip/routing/named_limits.py
+++ b/src/wheelslip/routing/named_limits.py
@@ -1,8 +1,10 @@
-"""Rate limits that workers name in their answers. Pure: the clock is injected.
+"""Rate limits that workers announce in their responses.
 
-A limit belongs to one start of a worker and holds until that start answers without one. Answers
-overtake each other and news from other nodes arrive late, so every belief carries the moment at
-which it was observed, and an older observation never replaces a newer one.
+A limit belongs to one incarnation of a worker and applies until that incarnation responds without
+one. Responses overtake each other and reports from other nodes arrive late, so every observation
+carries the time at which it was made, and an older observation never replaces a newer one.
+
+The module does no I/O; the clock is injected.
 """
 
 from collections.abc import Callable, Container, Iterable
@@ -11,32 +13,34 @@
 
 from wheelslip.deployment import Incarnation
 
-MAX_STARTS = 4096
-"""Starts of which a limit is kept, the most recently observed."""
+MAX_INCARNATIONS = 4096
+"""Maximum number of stored incarnations; the least recently updated is evicted."""
 
 MAX_RATE = 1e6
-"""Greatest limit that is kept, in requests a second; a greater one restricts nothing either."""
+"""Upper bound of a stored limit, in requests per second."""
 
-ANSWERS_TO_LIFT = 2
-"""Answers in a row without a limit that end it; a single one may come from another code path."""
+RESPONSES_TO_LIFT = 2
+"""Consecutive responses without a limit that lift it. A single one may come from a code path of the
+worker that does not announce limits."""
 
 REORDER_SECONDS = 0.05
-"""Two observations closer than this may have been made in either order, since they are dated on
-arrival. The lower limit of the two holds."""
+"""Observations closer than this may have been made in either order, since they are dated on
+arrival. The lower limit of the two applies."""
 
-REPEATED_SECONDS = 5.0
-"""That a limit has ended is repeated to other nodes for this long."""
+LIFTED_REPORT_SECONDS = 5.0
+"""Time for which a lifted limit is reported to other nodes."""
 
-FORGOTTEN_SECONDS = 60.0
-"""What was observed of a start that is not in view is forgotten after this long. Entries that lapse in
-an outage of the store are back much sooner."""
+RETENTION_SECONDS = 60.0
+"""Time after which the observation of an unregistered incarnation expires. Registrations that lapse
+during an outage of the store are restored much sooner."""
 
 
 class LimitReport(NamedTuple):
-    """What one node tells another about the limit of a worker.
+    """An observation of a worker's limit, as nodes exchange it.
 
-    :ivar rate: requests a second; ``None`` for an answer that named no limit.
-    :ivar age: seconds since it was observed.
+    :ivar incarnation: the observed incarnation of the worker.
+    :ivar rate: requests per second, ``None`` for a response without a limit.
+    :ivar age: seconds since the observation.
     """
 
     incarnation: Incarnation
@@ -45,64 +49,66 @@
 
 
 @dataclass
-class _Belief:
-    """The limit of one start.
-
-    :ivar rate: requests a second; ``None`` for a limit that has ended.
-    :ivar answers_without: answers in a row that named none.
-    :ivar is_direct: an answer to this node showed it, since it was last reported.
+class _Observation:
+    """The most recent observation of one incarnation.
+
+    :ivar rate: requests per second, ``None`` for a lifted limit.
+    :ivar observed_at: clock time of the observation.
+    :ivar responses_without: consecutive responses without a limit.
+    :ivar is_direct: made in a response to this node and not yet returned by
+        :meth:`WorkerRateLimits.drain_direct_reports`.
     """
 
     rate: float | None
     observed_at: float
-    answers_without: int = 0
+    responses_without: int = 0
     is_direct: bool = False
 
 
 class WorkerRateLimits:
-    """Limits of workers as this node believes them.
+    """The rate limits of workers, as far as this node has observed or received them.
 
     :param clock: steady clock in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
-        self._beliefs: dict[Incarnation, _Belief] = {}
-        self._limited: dict[Incarnation, float] = {}
+        self._observations: dict[Incarnation, _Observation] = {}
+        self._rates: dict[Incarnation, float] = {}
 
-    # Answers to this node
+    def record_limit(self, incarnation: Incarnation, rate: float) -> LimitReport | None:
+        """Record a limit announced in a response to this node.
 
-    def record_limit(self, start: Incarnation, rate: float) -> LimitReport | None:
-        """An answer to this node named a limit; return what to report if it is news."""
+        :return: the report for other nodes, ``None`` if the limit is unchanged.
+        """
         rate = min(rate, MAX_RATE)
-        is_news = self.rate(start) != rate
-        self._set(start, _Belief(rate, self._clock(), is_direct=True))
-        return self.report(start) if is_news else None
+        is_changed = self.rate(incarnation) != rate
+        self._set(incarnation, _Observation(rate, self._clock(), is_direct=True))
+        return self.report(incarnation) if is_changed else None
 
-    def record_no_limit(self, start: Incarnation, sent_at: float) -> LimitReport | None:
-        """An answer to this node named no limit; return what to report if one is current.
+    def record_no_limit(self, incarnation: Incarnation, sent_at: float) -> LimitReport | None:
+        """Record a response to this node that announces no limit.
 
-        :param sent_at: when the request was sent. The answer is no older than that for certain.
+        :param sent_at: when the request was sent; the response is at most this old.
+        :return: the report for other nodes, ``None`` if no older limit is recorded.
         """
-        current = self._beliefs.get(start)
+        current = self._observations.get(incarnation)
         if current is None or current.rate is None or sent_at <= current.observed_at:
             return None
-        self._count_without(start, current)
-        return LimitReport(start, None, round(self._clock() - sent_at, 4))
+        self._count_without(incarnation, current)
+        return LimitReport(incarnation, None, round(self._clock() - sent_at, 4))
 
-    def _count_without(self, start: Incarnation, current: _Belief) -> None:
-        current.answers_without += 1
-        if current.answers_without >= ANSWERS_TO_LIFT:
-            self._set(start, _Belief(None, self._clock()))
-
-    # Reports of other nodes
+    def _count_without(self, incarnation: Incarnation, current: _Observation) -> None:
+        current.responses_without += 1
+        if current.responses_without >= RESPONSES_TO_LIFT:
+            self._set(incarnation, _Observation(None, self._clock()))
 
     def count_report(self, report: LimitReport) -> bool:
-        """Take a report on an answer to another node; return whether that changes the belief.
+        """Apply a report on a response to another node; return whether the limit changes.
 
-        An answer without a limit counts like one to this node.
+        A response without a limit counts as if it had been sent to this node.
         """
-        current = self._beliefs.get(report.incarnation)
+        current = self._observations.get(report.incarnation)
         if report.rate is not None or current is None or current.rate is None:
             return self.merge(report)
         if self._observed_at(report) > current.observed_at + REORDER_SECONDS:
@@ -110,16 +116,16 @@
         return self.rate(report.incarnation) is None
 
     def merge(self, report: LimitReport) -> bool:
-        """Take what another node believes, if that is newer; return whether it is news."""
-        current = self._beliefs.get(report.incarnation)
+        """Apply another node's state if it is newer; return whether the limit changes."""
+        current = self._observations.get(report.incarnation)
         observed_at = self._observed_at(report)
         if current is None:
             if report.rate is not None:
-                self._set(report.incarnation, _Belief(report.rate, observed_at))
+                self._set(report.incarnation, _Observation(report.rate, observed_at))
             return report.rate is not None
         distance = observed_at - current.observed_at
         if current.rate == report.rate:
-            # By less it may be no newer: nodes that repeat to each other would make it younger.
+            # Small differences are ignored: they would accumulate while nodes repeat a report.
             if distance > REORDER_SECONDS:
                 current.observed_at = observed_at
             return False
@@ -127,76 +133,78 @@
         is_newer = distance >= -REORDER_SECONDS if is_lower else distance > REORDER_SECONDS
         if not is_newer:
             return False
-        self._set(report.incarnation, _Belief(report.rate, observed_at))
+        self._set(report.incarnation, _Observation(report.rate, observed_at))
         return True
 
     def _observed_at(self, report: LimitReport) -> float:
         return self._clock() - max(0.0, report.age)
 
-    def _set(self, start: Incarnation, belief: _Belief) -> None:
-        self._forget(start)
-        self._beliefs[start] = belief
-        if belief.rate is not None:
-            self._limited[start] = belief.rate
-        if len(self._beliefs) > MAX_STARTS:
-            self._forget(next(iter(self._beliefs)))
-
-    def _forget(self, start: Incarnation) -> None:
-        self._beliefs.pop(start, None)
-        self._limited.pop(start, None)
-
-    def expire(self, in_view: Container[Incarnation]) -> None:
-        """Forget starts that are not in view and have not been heard of for long."""
-        oldest = self._clock() - FORGOTTEN_SECONDS
-        for start in [one for one in self._beliefs if one not in in_view]:
-            if self._beliefs[start].observed_at < oldest:
-                self._forget(start)
-
-    # Reading
-
-    def rate(self, start: Incarnation) -> float | None:
-        """Return the limit of a start in requests a second, ``None`` where there is none."""
-        return self._limited.get(start)
-
-    def limited(self, starts: Iterable[Incarnation]) -> frozenset[Incarnation]:
-        """Return those of some starts that have a limit."""
-        return frozenset(one for one in starts if one in self._limited)
+    def _set(self, incarnation: Incarnation, observation: _Observation) -> None:
+        self._delete(incarnation)
+        self._observations[incarnation] = observation
+        if observation.rate is not None:
+            self._rates[incarnation] = observation.rate
+        if len(self._observations) > MAX_INCARNATIONS:
+            self._delete(next(iter(self._observations)))
+
+    def _delete(self, incarnation: Incarnation) -> None:
+        self._observations.pop(incarnation, None)
+        self._rates.pop(incarnation, None)
+
+    def expire(self, registered: Container[Incarnation]) -> None:
+        """Delete old observations of incarnations that are not registered."""
+        oldest = self._clock() - RETENTION_SECONDS
+        for incarnation in [key for key in self._observations if key not in registered]:
+            if self._observations[incarnation].observed_at < oldest:
+                self._delete(incarnation)
+
+    def rate(self, incarnation: Incarnation) -> float | None:
+        """Return the limit of an incarnation in requests per second, ``None`` if it has none."""
+        return self._rates.get(incarnation)
+
+    def limited(self, incarnations: Iterable[Incarnation]) -> frozenset[Incarnation]:
+        """Return the subset of incarnations that have a limit."""
+        return frozenset(incarnation for incarnation in incarnations if incarnation in self._rates)
 
     def limited_incarnations(self) -> list[Incarnation]:
-        """Return all starts that have a limit."""
-        return list(self._limited)
+        """Return all incarnations that have a limit."""
+        return list(self._rates)
 
     def count(self) -> int:
-        """Return the number of starts that have a limit."""
-        return len(self._limited)
+        """Return the number of incarnations that have a limit."""
+        return len(self._rates)
 
-    def report(self, start: Incarnation) -> LimitReport:
-        """Return the report on one start that is current."""
-        current = self._beliefs[start]
-        return LimitReport(start, current.rate, round(self._clock() - current.observed_at, 4))
+    def report(self, incarnation: Incarnation) -> LimitReport:
+        """Return the report on a recorded incarnation.
+
+        :raises KeyError: if there is no observation of it.
+        """
+        current = self._observations[incarnation]
+        return LimitReport(incarnation, current.rate, round(self._clock() - current.observed_at, 4))
 
     def reports(self) -> list[LimitReport]:
-        """Return a report on each limit that holds or has just ended."""
-        oldest = self._clock() - REPEATED_SECONDS
+        """Return a report on each limit that applies or was lifted recently."""
+        oldest = self._clock() - LIFTED_REPORT_SECONDS
         return [
-            self.report(start)
-            for start, one in self._beliefs.items()
-            if one.rate is not None or one.observed_at >= oldest
+            self.report(incarnation)
+            for incarnation, observation in self._observations.items()
+            if observation.rate is not None or observation.observed_at >= oldest
         ]
 
     def drain_direct_reports(self) -> list[LimitReport]:
-        """Return reports on what answers to this node have shown since the last call."""
-        fresh = [start for start, one in self._beliefs.items() if one.is_direct]
-        for start in fresh:
-            self._beliefs[start].is_direct = False
-        return [self.report(start) for start in fresh]
+        """Return reports on limits announced to this node since the last call."""
+        fresh = [key for key, observation in self._observations.items() if observation.is_direct]
+        for incarnation in fresh:
+            self._observations[incarnation].is_direct = False
+        return [self.report(incarnation) for incarnation in fresh]
 
     def corrections(self, reports: Iterable[LimitReport]) -> list[LimitReport]:
-        """Return what this node believes where another node's reports say otherwise."""
+        """Return this node's reports on incarnations for which another node's reports differ."""
         return [
-            self.report(one.incarnation)
-            for one in reports
-            if one.incarnation in self._beliefs and self.rate(one.incarnation) != one.rate
+            self.report(report.incarnation)
+            for report in reports
+            if report.incarnation in self._observations
+            and self.rate(report.incarnation) != report.rate
         ]
 
 
--- a/src/wheelslip/routing/retry.py
+++ b/src/wheelslip/routing/retry.py
@@ -1,13 +1,13 @@
-"""Retry budget, backoff with jitter, and a circuit for each engine incarnation."""
+"""Retry budget, backoff with jitter, and a circuit breaker for each engine incarnation."""
 
 import random
 from dataclasses import dataclass
 
 RETRY_RATIO = 0.2
-"""Retries allowed for each first attempt, so that an outage adds at most a fifth."""
+"""Retries allowed for each first attempt, so that an outage adds at most a fifth of the load."""
 
 RETRY_RESERVE = 10.0
-"""Retries allowed at once when there was little traffic."""
+"""Retries that may accumulate, and that are available at the start."""
 
 BACKOFF_BASE_SECONDS = 0.05
 BACKOFF_MAX_SECONDS = 1.0
@@ -27,11 +27,11 @@
         self._balance = reserve
 
     def record_first_attempt(self) -> None:
-        """Earn the share of one first attempt."""
+        """Add the share of one first attempt to the budget."""
         self._balance = min(self._reserve, self._balance + self._ratio)
 
     def take_retry(self) -> bool:
-        """Spend one retry; ``False`` when the budget is spent."""
+        """Take one retry from the budget; return ``False`` if it is exhausted."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
@@ -46,7 +46,10 @@
 
 @dataclass
 class Circuit:
-    """Opens after consecutive failures of one engine incarnation, then lets one try."""
+    """Circuit breaker that opens after consecutive failures of one engine incarnation.
+
+    Once :attr:`open_until` has passed it allows requests again; one more failure reopens it.
+    """
 
     incarnation: str
     failures: int = 0
@@ -64,6 +67,6 @@
         """Count a failure; return whether this one opened the circuit."""
         self.failures += 1
         if self.failures >= CIRCUIT_FAILURES:
-            # Jitter keeps the nodes from trying a dead engine all at the same moment.
+            # Jitter keeps the nodes from probing a failed engine all at the same moment.
             self.open_until = now + CIRCUIT_OPEN_SECONDS * random_source.uniform(0.75, 1.25)
         return self.failures == CIRCUIT_FAILURES
--- a/src/wheelslip/routing/retry_window.py
+++ b/src/wheelslip/routing/retry_window.py
@@ -1,38 +1,40 @@
-"""Retry budget over a sliding window, from this node's own traffic alone."""
+"""Retry budget over a sliding window of this node's own traffic."""
 
 from collections import deque
 
-OWN_SHARE = 0.7
-"""Part of the allowed ratio that a node spends: the sum over nodes then stays under the
-ratio although the windows of the judge and of each node do not begin together."""
+NODE_RATIO_SHARE = 0.7
+"""Fraction of the allowed ratio that a node uses. The windows of the nodes are not aligned, and the
+margin keeps their sum below the ratio."""
 
 
 class RetryWindow:
-    """Allows repeated sends as a share of first sends in the last seconds.
+    """Allows retries as a share of the first attempts within the window.
 
-    It has no reserve: a reserve of each of many nodes together would exceed any fixed sum.
+    There is no reserve, since the reserves of many nodes would add up.
+
+    :param ratio: allowed retries per first attempt, over all nodes.
     """
 
     def __init__(self, ratio: float, window_seconds: float):
-        self._ratio = ratio * OWN_SHARE
+        self._ratio = ratio * NODE_RATIO_SHARE
         self._window = window_seconds
-        self._first: deque[float] = deque()
-        self._repeated: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def record_first_attempt(self, now: float) -> None:
-        """Count the first send of a request."""
-        self._first.append(now)
+        """Record the first attempt of a request."""
+        self._first_attempts.append(now)
         self._expire(now)
 
     def take_retry(self, now: float) -> bool:
-        """Count a further send if the budget allows it."""
+        """Record a retry if the budget allows one; return whether it does."""
         self._expire(now)
-        if len(self._repeated) + 1 > self._ratio * len(self._first):
+        if len(self._retries) + 1 > self._ratio * len(self._first_attempts):
             return False
-        self._repeated.append(now)
+        self._retries.append(now)
         return True
 
     def _expire(self, now: float) -> None:
-        for times in (self._first, self._repeated):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] < now - self._window:
                 times.popleft()
--- a/src/wheelslip/routing/split.py
+++ b/src/wheelslip/routing/split.py
@@ -1,16 +1,16 @@
-"""Smooth weighted round robin over the parts of a route."""
+"""Smooth weighted round robin over the destinations of a route."""
 
 
 class WeightedRoundRobin:
-    """Chooses names so that each gets its share of any run of choices."""
+    """Chooses names in proportion to their weights, evenly spread over any run of choices."""
 
     def __init__(self):
         self._credit: dict[str, float] = {}
 
     def choose(self, weights: dict[str, int]) -> str | None:
-        """Return the next name; names of weight 0 are never chosen.
+        """Return the next name, ``None`` if no weight is positive.
 
-        :param weights: name to weight; a change of names keeps the credit of the others.
+        :param weights: weight by name; the other names keep their credit when names change.
         """
         weights = {name: weight for name, weight in weights.items() if weight > 0}
         if not weights:
--- a/src/wheelslip/routing/tenant_limits.py
+++ b/src/wheelslip/routing/tenant_limits.py
@@ -1,12 +1,15 @@
-"""Tenants' limits, counted by one node for all. Pure: clock and authority are injected.
+"""Rate limits of tenants, counted by one node for all nodes.
 
-The node that dispatches counts what it grants, so a limit costs no message of its own. Each
-limit is a token bucket that fills by the node's authority over the limits: a node with half of
-the votes fills it half as fast, and a node that begins starts with an empty one, so a restart
-or a takeover gives no second burst.
+The dispatching node charges the requests that it grants, so that limits need no messages of their
+own. Each limit is a token bucket that fills in proportion to the node's authority
+(:mod:`wheelslip.routing.limit_authority`): a node with half of the votes fills it at half the rate.
+Buckets start empty, so that neither a restart nor a change of the meter allows a second burst.
 
-While the meter does not answer, a standby meter lets requests pass from a reserve: what a limit
-may be exceeded by, once. So a pause of the meter refuses nothing below the limits.
+While the meter is unreachable, a standby meter admits requests from a reserve, which is refilled
+slowly and holds part of the amount by which a limit may be exceeded. A short pause of the meter
+therefore causes no refusals below the limits.
+
+The module does no I/O; clock and authority are injected.
 """
 
 import math
@@ -19,32 +22,31 @@
 from wheelslip.routing.placement import PlacementQuery
 
 URGENT_OVERDRAFT = 0.05
-"""Part of a burst by which the most urgent kind of request of a tenant may overdraw its
-bucket, so that it goes first while the tenant is at its limit."""
+"""Fraction of the burst by which requests of a tenant's highest priority may overdraw the bucket,
+so that they are admitted first at the limit."""
 
-LEAST_RETRY_SECONDS = 0.05
-MOST_RETRY_SECONDS = 10.0
-"""Range of what a refused caller is told. Callers wait a third of their time at most: a turn
-that is later than that is told, and not waited for."""
+MIN_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 10.0
+"""Range of the retry time that a refused caller receives."""
 
-PARTIAL_SHARE = 0.5
-"""With less than this share a node is no tenant's regular meter: another will be within the
-validity of a vote."""
+MIN_METER_SHARE = 0.5
+"""A node with a smaller share is not the regular meter; one will be elected within the validity of
+a vote."""
 
 
 RESERVE_SHARE = 0.5
-"""Part of what a limit may be exceeded by in a window that the standby meters hold together."""
+"""Fraction of the allowed excess of a limit that the reserves of all standby meters hold."""
 
-RESERVE_WINDOWS = 4.0
-"""A reserve that was used fills again in so many windows, so that one window sees it once."""
+RESERVE_REFILL_WINDOWS = 4.0
+"""Windows in which an empty reserve fills up, so that one window contains it about once."""
 
 
 class LimitTolerance(NamedTuple):
-    """By how much more than its limit a tenant may have run within a window.
+    """The amount by which a tenant may exceed its limit within a window.
 
-    :ivar window_seconds: the window over which that is counted.
-    :ivar overage: as a part of what the limit allows in a window.
-    :ivar slack: and on top of that, in units.
+    :ivar window_seconds: length of the window.
+    :ivar overage: allowed excess as a fraction of what the limit permits in a window.
+    :ivar slack: additional allowed excess, in units of the limit.
     """
 
     window_seconds: float = 8.0
@@ -52,38 +54,40 @@
     slack: float = 0.0
 
     def excess(self, limit: TenantLimit) -> float:
-        """Return how many units that are."""
+        """Return the allowed excess in units of the limit."""
         return self.overage * (limit.rate * self.window_seconds + limit.burst) + self.slack
 
 
 class TenantLimited(Exception):
-    """A tenant is over its limit.
+    """Raised when a tenant exceeds its rate limit.
 
-    :ivar retry_seconds: after how long its turn comes.
+    :ivar retry_seconds: time after which the caller should retry.
     """
 
     def __init__(self, tenant: str, seconds: float):
-        super().__init__(f"tenant {tenant} is over its limit; its turn comes in {seconds:.2f} s")
+        super().__init__(f"tenant {tenant} exceeds its rate limit; retry after {seconds:.2f} s")
         self.retry_seconds = seconds
 
 
 class NoAuthority(Exception):
-    """This node may not give out anything of the limits; another may."""
+    """Raised when this node may not grant any part of a limit; another node may."""
 
 
 class Charge(NamedTuple):
-    """What a request took of a tenant's limit, and gives back if it does not run."""
+    """Units charged to a tenant's limit, refunded if the request does not run."""
 
     tenant: str
     units: float
 
 
 class TenantLimits:
-    """The buckets of all tenants at one node.
+    """The token buckets of all tenants at one node.
 
-    :param limits: returns the limits in force by name of tenant.
-    :param tolerance: returns by how much they may be exceeded.
-    :ivar refused: requests refused since the start.
+    :param limits: returns the configured limits by tenant name.
+    :param authority: this node's share of every limit.
+    :param clock: steady clock in seconds.
+    :param tolerance: returns the amount by which limits may be exceeded.
+    :ivar refused: number of requests refused since the node started.
     """
 
     def __init__(
@@ -93,62 +97,66 @@
         clock: Callable[[], float],
         tolerance: Callable[[], LimitTolerance] = LimitTolerance,
     ):
-        self._limits_in_force = limits
+        self._configured_limits = limits
         self._authority = authority
         self._clock = clock
         self._tolerance = tolerance
         self._reserves: dict[str, TokenBucket] = {}
         self._limits: dict[str, TenantLimit] | None = None
         self._buckets: dict[str, TokenBucket] = {}
-        self._largest: dict[str, float] = {}
-        self._most_urgent: dict[str, int] = {}
-        self._turn_at: dict[str, float] = {}
+        self._largest_request: dict[str, float] = {}
+        self._highest_priority: dict[str, int] = {}
+        self._next_retry_at: dict[str, float] = {}
         self.refused = 0
 
     def charge(self, query: PlacementQuery) -> Charge | None:
-        """Take what a request counts; ``None`` when its tenant has no limit.
+        """Charge a request to its tenant's limit.
 
-        :raises TenantLimited: when the tenant is over its limit.
-        :raises NoAuthority: when another node has to be asked.
+        :return: the charge, ``None`` if the tenant has no limit.
+        :raises TenantLimited: if the tenant exceeds its limit.
+        :raises NoAuthority: if another node must count the request.
         """
         self.update()
         limit = self._limits.get(query.tenant)
         if limit is None or not query.limit_units:
             return None
         share = self._authority.share()
-        wait = self._take_share(query, limit, share) if share > 0.0 else math.inf
+        wait = self._charge_bucket(query, limit, share) if share > 0.0 else math.inf
         if wait <= 0.0:
             return Charge(query.tenant, query.limit_units)
-        if self._take_reserve(query, limit):
+        if self._charge_reserve(query, limit):
             return Charge(query.tenant, 0.0)
         if wait == math.inf:
             raise NoAuthority
         self.refused += 1
-        raise TenantLimited(query.tenant, self._turn(query, limit, share, wait))
+        raise TenantLimited(query.tenant, self._retry_seconds(query, limit, share, wait))
 
-    def _take_share(self, query: PlacementQuery, limit: TenantLimit, share: float) -> float:
-        """Take from this node's share of the limit; return 0, or the seconds to wait for it.
+    def _charge_bucket(self, query: PlacementQuery, limit: TenantLimit, share: float) -> float:
+        """Charge a request to the tenant's bucket.
 
-        They are seconds of the whole authority: with a part of it, it takes longer.
+        :return: 0 if the request is admitted, otherwise the time to wait, in seconds of full
+            authority; a node with a smaller share waits longer.
         """
         units = query.limit_units
-        self._largest[query.tenant] = max(units, self._largest.get(query.tenant, 0.0))
+        self._largest_request[query.tenant] = max(
+            units, self._largest_request.get(query.tenant, 0.0)
+        )
         bucket = self._bucket(query.tenant, limit, share)
-        overdraft = URGENT_OVERDRAFT * limit.burst if self._is_most_urgent(query) else 0.0
+        overdraft = URGENT_OVERDRAFT * limit.burst if self._has_highest_priority(query) else 0.0
         return bucket.acquire(units, self._authority.weighted_seconds(), overdraft)
 
-    def _take_reserve(self, query: PlacementQuery, limit: TenantLimit) -> bool:
-        """Take from the reserve of a standby meter."""
+    def _charge_reserve(self, query: PlacementQuery, limit: TenantLimit) -> bool:
+        """Charge a request to the reserve of a standby meter; return whether it is admitted."""
         standby_share = self._authority.standby_share
         if standby_share <= 0.0:
             return False
         tolerance, now = self._tolerance(), self._clock()
-        room = RESERVE_SHARE * standby_share * tolerance.excess(limit)
+        capacity = RESERVE_SHARE * standby_share * tolerance.excess(limit)
         reserve = self._reserves.get(query.tenant)
         if reserve is None:
-            reserve = self._reserves[query.tenant] = TokenBucket(0.0, room, room, now)
-        reserve.capacity = room
-        reserve.rate = room / (RESERVE_WINDOWS * tolerance.window_seconds)
+            reserve = self._reserves[query.tenant] = TokenBucket(0.0, capacity, capacity, now)
+        reserve.capacity = capacity
+        reserve.rate = capacity / (RESERVE_REFILL_WINDOWS * tolerance.window_seconds)
         reserve.refill(now)
         if reserve.level < query.limit_units:
             return False
@@ -156,17 +164,17 @@
         return True
 
     def refund(self, charge: Charge | None) -> None:
-        """A request that was counted was proven not to run."""
+        """Refund the charge of a request that is known not to have run."""
         if charge is not None and charge.tenant in self._buckets:
             self._buckets[charge.tenant].refund(charge.units)
 
     def update(self) -> None:
-        """Take over the limits in force, if they have changed.
+        """Apply the configured limits if they have changed.
 
-        The buckets of the first configuration begin empty: this node cannot know what was
-        given out before. A tenant that comes later had nothing before, so its bucket is full.
+        Buckets of the first configuration start empty, since this node does not know what was
+        granted before it started. The bucket of a tenant added later starts full.
         """
-        limits = self._limits_in_force()
+        limits = self._configured_limits()
         if limits is self._limits:
             return
         share, now = self._authority.share(), self._authority.weighted_seconds()
@@ -181,33 +189,37 @@
         self._limits = limits
 
     def trim(self) -> None:
-        """Give up what the buckets hold beyond this node's share, which may have fallen."""
+        """Cap the buckets at this node's current share, which may have fallen."""
         self.update()
         share, now = self._authority.share(), self._authority.weighted_seconds()
         for tenant, limit in self._limits.items():
             self._bucket(tenant, limit, share).refill(now)
 
     def _bucket(self, tenant: str, limit: TenantLimit, share: float) -> TokenBucket:
-        """Return a tenant's bucket, as large as this node's share of the limit.
+        """Return a tenant's bucket, with the capacity set to this node's share of the burst.
 
-        It always has room for the largest request, which otherwise would never pass.
+        The capacity is at least that of the largest request seen, up to the burst, so that a node
+        with a small share can still admit such a request.
         """
         bucket = self._buckets[tenant]
-        room = min(limit.burst, self._largest.get(tenant, 0.0))
-        bucket.capacity = max(limit.burst * share, room)
+        min_capacity = min(limit.burst, self._largest_request.get(tenant, 0.0))
+        bucket.capacity = max(limit.burst * share, min_capacity)
         return bucket
 
-    def _is_most_urgent(self, query: PlacementQuery) -> bool:
-        most = min(query.priority, self._most_urgent.get(query.tenant, query.priority))
-        self._most_urgent[query.tenant] = most
-        return query.priority == most
-
-    def _turn(self, query: PlacementQuery, limit: TenantLimit, share: float, wait: float) -> float:
-        """Return when a refused caller's turn comes: after those that were refused before it."""
-        if share < PARTIAL_SHARE:
+    def _has_highest_priority(self, query: PlacementQuery) -> bool:
+        """Return whether no more urgent request of the tenant has been seen."""
+        highest = min(query.priority, self._highest_priority.get(query.tenant, query.priority))
+        self._highest_priority[query.tenant] = highest
+        return query.priority == highest
+
+    def _retry_seconds(
+        self, query: PlacementQuery, limit: TenantLimit, share: float, wait: float
+    ) -> float:
+        """Return the retry time of a refused caller, after those of callers refused earlier."""
+        if share < MIN_METER_SHARE:
             return VOTE_VALIDITY_SECONDS
         now = self._clock()
-        turn_at = max(now + wait / share, self._turn_at.get(query.tenant, now))
-        turn_at = min(turn_at, now + MOST_RETRY_SECONDS)
-        self._turn_at[query.tenant] = turn_at + query.limit_units / (limit.rate * share)
-        return max(LEAST_RETRY_SECONDS, turn_at - now)
+        retry_at = max(now + wait / share, self._next_retry_at.get(query.tenant, now))
+        retry_at = min(retry_at, now + MAX_RETRY_SECONDS)
+        self._next_retry_at[query.tenant] = retry_at + query.limit_units / (limit.rate * share)
+        return max(MIN_RETRY_SECONDS, retry_at - now)
--- a/src/wheelslip/routing/worker_allowance.py
+++ b/src/wheelslip/routing/worker_allowance.py
@@ -1,10 +1,12 @@
-"""How much of the rate limits that workers name this node may use. Pure: clock and authority are injected.
+"""This node's share of the rate limits that workers announce.
 
-A limit binds all nodes together, as a tenant's does, and is shared out in the same way: the node
-with the votes of the others counts what it grants against a token bucket for each limited worker,
-which fills by its authority (:mod:`wheelslip.routing.limit_authority`). A bucket begins empty, so
-neither a takeover nor a restart gives a second burst, and a node without authority uses no limited
-worker at all.
+A worker's limit applies to all nodes together, like a tenant's limit, and is divided in the same
+way: the node that holds the votes of the others (:mod:`wheelslip.routing.limit_authority`) counts
+the requests that it grants against a token bucket for each limited worker. A bucket fills in
+proportion to the node's authority and starts empty, so that neither a change of the meter nor a
+restart allows a second burst. A node without authority sends nothing to limited workers.
+
+The module does no I/O; clock and authority are injected.
 """
 
 from collections.abc import Iterable
@@ -19,24 +21,24 @@
 from wheelslip.routing.worker_choice import WorkerPlacement
 
 BURST_SECONDS = 0.25
-"""A bucket holds one request and what its limit allows in this time, in seconds. Demand comes
-unevenly, and what is not taken when the bucket is full is lost."""
+"""A bucket holds one request plus the requests that its limit allows in this time, so that uneven
+demand can use the full rate."""
 
 PROBE_RATE = 0.2
-"""Requests a second that a worker gets from the whole fleet however low its limit is: only their
-answers show that the limit has ended."""
+"""Minimum rate at which the fleet sends requests to a worker, in requests per second. Only
+responses show that a limit has been lifted."""
 
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 
 
 class WorkerAllowance:
     """The token buckets of limited workers at one node.
 
-    :param limits: what the workers name.
-    :param authority: this node's part of every limit.
-    :ivar granted: requests counted since the start.
-    :ivar refunded: those of them that were never sent.
-    :ivar refused: requests refused since the start because all workers were at their limits.
+    :param limits: the limits that workers announce.
+    :param authority: this node's share of every limit.
+    :ivar granted: requests charged since the node started.
+    :ivar refunded: charged requests that were never sent.
+    :ivar refused: requests refused because all workers were at their limits.
     """
 
     def __init__(self, limits: WorkerRateLimits, authority: Authority):
@@ -47,58 +49,68 @@
         self.refunded = 0
         self.refused = 0
 
-    def exhausted(self, starts: Iterable[Incarnation]) -> frozenset[Incarnation]:
-        """Return those of some workers to which this node may send nothing now."""
-        limited = self.limits.limited(starts)
+    def exhausted(self, incarnations: Iterable[Incarnation]) -> frozenset[Incarnation]:
+        """Return the subset of workers to which this node may send no request now."""
+        limited = self.limits.limited(incarnations)
         if not limited:
             return frozenset()
         if self._authority.share() <= 0.0:
             return limited
-        return frozenset(one for one in limited if self._bucket(one).level < 1.0)
+        return frozenset(
+            incarnation for incarnation in limited if self._bucket(incarnation).level < 1.0
+        )
+
+    def charge(self, incarnation: Incarnation) -> bool:
+        """Charge a request to the limit of a worker that is not exhausted.
 
-    def charge(self, start: Incarnation) -> bool:
-        """Count a request to a worker that is not exhausted; return whether it has a limit."""
-        if self.limits.rate(start) is None:
+        :return: whether the worker has a limit.
+        """
+        if self.limits.rate(incarnation) is None:
             return False
-        self._bucket(start).level -= 1.0
+        self._bucket(incarnation).level -= 1.0
         self.granted += 1
         return True
 
-    def refund(self, start: Incarnation) -> None:
-        """A request that was counted will never be sent."""
+    def refund(self, incarnation: Incarnation) -> None:
+        """Refund a charged request that will not be sent."""
         self.refunded += 1
-        if self.limits.rate(start) is not None:
-            self._bucket(start).refund(1.0)
+        if self.limits.rate(incarnation) is not None:
+            self._bucket(incarnation).refund(1.0)
 
-    def wait_seconds(self, starts: Iterable[Incarnation]) -> float | None:
-        """Return when the first of some exhausted workers may get a request.
+    def wait_seconds(self, incarnations: Iterable[Incarnation]) -> float | None:
+        """Return the time until the first of some exhausted workers may receive a request.
 
-        ``None`` when this node has no authority.
+        :return: seconds, ``None`` if this node has no authority.
         """
         share = self._authority.share()
         if share <= 0.0:
             return None
-        buckets = [self._bucket(one) for one in starts]
-        return min((1.0 - one.level) / (one.rate * share) for one in buckets)
+        buckets = [self._bucket(incarnation) for incarnation in incarnations]
+        return min((1.0 - bucket.level) / (bucket.rate * share) for bucket in buckets)
 
-    def rate(self, starts: Iterable[Incarnation]) -> float:
-        """Return the requests a second that this node may send to some workers together."""
-        return self._authority.share() * sum(self._bucket(one).rate for one in starts)
+    def rate(self, incarnations: Iterable[Incarnation]) -> float:
+        """Return the combined rate at which this node may send to some workers.
+
+        :return: requests per second.
+        """
+        return self._authority.share() * sum(
+            self._bucket(incarnation).rate for incarnation in incarnations
+        )
 
     def _trim(self) -> None:
-        """Forget the buckets of workers whose limit has ended."""
-        ended = [one for one in self._buckets if self.limits.rate(one) is None]
-        for start in ended:
-            del self._buckets[start]
-
-    def _bucket(self, start: Incarnation) -> TokenBucket:
-        """Return the bucket of a limited worker, filled up to now."""
-        rate = max(PROBE_RATE, self.limits.rate(start))
+        """Delete the buckets of workers whose limit has been lifted."""
+        lifted = [key for key in self._buckets if self.limits.rate(key) is None]
+        for incarnation in lifted:
+            del self._buckets[incarnation]
+
+    def _bucket(self, incarnation: Incarnation) -> TokenBucket:
+        """Return the refilled bucket of a limited worker."""
+        rate = max(PROBE_RATE, self.limits.rate(incarnation))
         now = self._authority.weighted_seconds()
-        bucket = self._buckets.get(start)
+        bucket = self._buckets.get(incarnation)
         if bucket is None:
             self._trim()
-            bucket = self._buckets[start] = TokenBucket(rate, 0.0, 0.0, now)
+            bucket = self._buckets[incarnation] = TokenBucket(rate, 0.0, 0.0, now)
         bucket.refill(now)
         bucket.rate = rate
         bucket.capacity = 1.0 + rate * BURST_SECONDS
@@ -107,9 +119,10 @@
 
 
 class RateLimitedChoice:
-    """Chooses workers within their limits.
+    """Chooses workers within their rate limits.
 
-    :param placement: what chooses among those that are left.
+    :param placement: chooses among the workers that are not exhausted.
+    :param allowance: this node's share of the limits.
     """
 
     def __init__(self, placement: WorkerPlacement, allowance: WorkerAllowance):
@@ -118,9 +131,10 @@
         self._turns: dict[str, Turns] = {}
 
     def choose(self, query: PlacementQuery, now: float) -> Placement | None:
-        """Return the best worker now, ``None`` when none may take the request.
+        """Return the best worker for a request, ``None`` if none is available.
 
-        :raises Overloaded: when none can begin it in time, or all are at their limits.
+        :raises Overloaded: if no worker can begin the request in time, or all workers are at their
+            rate limits.
         """
         exhausted = self._allowance.exhausted(self._limited(query))
         if not exhausted:
@@ -134,23 +148,23 @@
         return chosen
 
     def _limited(self, query: PlacementQuery) -> list[Incarnation]:
-        """Return the limited workers that may take a request."""
+        """Return the limited workers that are eligible for a request."""
         limits, placement = self._allowance.limits, self._placement
         return [
-            start
-            for start in limits.limited_incarnations()
-            if start not in query.excluded and placement.serves(start, query.service)
+            incarnation
+            for incarnation in limits.limited_incarnations()
+            if incarnation not in query.excluded and placement.serves(incarnation, query.service)
         ]
 
     def _raise_overloaded(
         self, service: str, exhausted: frozenset[Incarnation], now: float
     ) -> None:
-        """Refuse a request for which only exhausted workers are left.
+        """Refuse a request for which only exhausted workers remain.
 
-        Each caller gets a later turn than the last, at the rate of the workers' limits. A node
-        without authority refuses nothing: another node may have it in a moment.
+        Callers receive staggered retry times at the combined rate of the workers. A node without
+        authority refuses nothing, since another node may hold the authority.
 
-        :raises Overloaded: with the turn.
+        :raises Overloaded: with the retry time.
         """
         wait = self._allowance.wait_seconds(exhausted)
         if wait is None:
@@ -158,4 +172,4 @@
         turns = self._turns.setdefault(service, Turns())
         seconds = turns.retry_seconds(now, wait, 1.0 / self._allowance.rate(exhausted))
         self._allowance.refused += 1
-        raise Overloaded(max(LEAST_RETRY_SECONDS, seconds))
+        raise Overloaded(max(MIN_RETRY_SECONDS, seconds))
--- a/src/wheelslip/routing/worker_notices.py
+++ b/src/wheelslip/routing/worker_notices.py
@@ -1,10 +1,12 @@
-"""What workers say of themselves in their answers: that they leave, and that they want backoff.
+"""Notices that workers send in their responses: that they are leaving, or need a backoff.
 
-Pure: the clock is injected. All is held by incarnation of a worker, so another incarnation under its id owes
-nothing to it. Leaving is final: no entry, listing or outage takes it back. A backoff is asked of one
-node and kept by that node alone. Without both, three nodes sent 98 requests in 6 s to a worker that
-leaves, later than the time that it drains, and 55 in the 3 s for which one had asked for backoff
-(nodes and stand-ins, 80 requests a second).
+All notices belong to one incarnation of a worker and do not apply to a later one. A leaving notice
+is final: neither a registry entry nor an outage of the store revokes it. A backoff (a 503 response
+with ``Retry-After``) applies to the node that received the response, and only to that node. After a
+backoff, the number of concurrent requests of this node at the worker is limited at first and rises
+with each request served.
+
+The module does no I/O; the clock is injected.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,64 +15,64 @@
 
 from wheelslip.deployment import Incarnation
 
-MAX_STARTS = 4096
-"""Starts of which something is kept, the newest; some times the workers of the largest deployment
-planned for (850)."""
+MAX_INCARNATIONS = 4096
+"""Maximum number of incarnations for which notices of one kind are stored."""
 
-MAX_REST_SECONDS = 600.0
-"""Longest backoff that is kept, in seconds. A worker that wants more asks again when it is over; one
-that asks for ever by mistake is not lost for ever."""
+MAX_BACKOFF_SECONDS = 600.0
+"""Upper bound of a backoff, so that a faulty worker is not excluded permanently."""
 
-LEAST_NEWS_SECONDS = 0.5
-"""A backoff whose end is put off by less is no news: requests that were under way together are turned
-away one after the other."""
+MIN_EXTENSION_SECONDS = 0.5
+"""Smallest extension of a backoff that is reported. Requests in flight together are rejected one
+after the other."""
 
 INITIAL_CONCURRENCY = 1
-"""Requests that one node has at a worker at a time after its backoff, until one has been served; then
-one more for each served, so twice as many each round. A worker that is still full turns one away
-and not all that have waited."""
+"""Concurrent requests of this node at a worker after its backoff. Each request served raises the
+limit by one, which doubles it each round."""
 
-MOST_AFTER_REST = 16
-"""From so many on, the number is not limited any more."""
+MAX_CONCURRENCY_LIMIT = 16
+"""The concurrency is unlimited once the limit reaches this value."""
 
-RECOVERED_SECONDS = 10.0
-"""So long after a backoff the number is not limited any more, whatever became of the first requests."""
+RECOVERY_SECONDS = 10.0
+"""Time after a backoff at which the concurrency is unlimited in any case."""
 
 
 class RecoverySlot(NamedTuple):
-    """The place of one request among the first after a backoff."""
+    """A request that counts towards the concurrency limit after a backoff.
+
+    :ivar backoff: number of the backoff.
+    """
 
     incarnation: Incarnation
     backoff: int
 
 
 class EndedBackoff(NamedTuple):
-    """A backoff that is over, and how many seconds it lasted."""
+    """A backoff that has ended, and its duration in seconds."""
 
     incarnation: Incarnation
     seconds: float
 
 
 @dataclass
-class _Rest:
-    """A backoff and the time after it.
+class _Backoff:
+    """A backoff and the recovery after it.
 
-    :ivar number: tells one backoff of a incarnation from the next.
-    :ivar over: its end has been told.
-    :ivar max_in_flight: requests that may be under way after it.
-    :ivar running: those that are.
+    :ivar number: distinguishes successive backoffs.
+    :ivar end_reported: the end was returned by :meth:`WorkerNotices.expire`.
+    :ivar max_in_flight: allowed concurrent requests after the backoff.
+    :ivar in_flight: current number of concurrent requests.
     """
 
     number: int
     began_at: float
     until: float
-    over: bool = False
+    end_reported: bool = False
     max_in_flight: int = INITIAL_CONCURRENCY
-    running: int = 0
+    in_flight: int = 0
 
 
 class WorkerNotices:
-    """What one node has heard from workers.
+    """Notices that one node has received from workers.
 
     :param clock: steady clock in seconds.
     """
@@ -78,112 +80,114 @@
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
         self._leaving: dict[Incarnation, None] = {}
-        self._rests: dict[Incarnation, _Rest] = {}
-        self._rests_begun = 0
-
-    # Hearing
+        self._backoffs: dict[Incarnation, _Backoff] = {}
+        self._last_number = 0
 
     def record_leaving(self, incarnation: Incarnation) -> bool:
-        """A incarnation of a worker said that it leaves; return whether that is news."""
+        """Record that a worker is leaving; return whether this was unknown."""
         if incarnation in self._leaving:
             return False
         self._leaving[incarnation] = None
-        if len(self._leaving) > MAX_STARTS:
+        if len(self._leaving) > MAX_INCARNATIONS:
             del self._leaving[next(iter(self._leaving))]
         return True
 
     def record_backoff(self, incarnation: Incarnation, seconds: float) -> bool:
-        """A incarnation of a worker asked for backoff; return whether that is news.
+        """Record that a worker requests a backoff.
+
+        Of several overlapping backoffs the latest end applies.
 
-        Of several answers the latest end counts, since each is a promise of its own.
+        :return: whether a backoff begins or is extended noticeably.
         """
         now = self._clock()
-        until = now + min(seconds, MAX_REST_SECONDS)
-        current = self._rests.get(incarnation)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
+        current = self._backoffs.get(incarnation)
         if not until > now or (current is not None and until <= current.until):
             return False
         if current is not None and now < current.until:
-            is_news = until - current.until > LEAST_NEWS_SECONDS
+            is_extended = until - current.until > MIN_EXTENSION_SECONDS
             current.until = until
-            return is_news
-        self._rests_begun += 1
-        self._rests[incarnation] = _Rest(self._rests_begun, now, until)
-        if len(self._rests) > MAX_STARTS:
-            del self._rests[min(self._rests, key=lambda one: self._rests[one].until)]
+            return is_extended
+        self._last_number += 1
+        self._backoffs[incarnation] = _Backoff(self._last_number, now, until)
+        if len(self._backoffs) > MAX_INCARNATIONS:
+            del self._backoffs[min(self._backoffs, key=lambda key: self._backoffs[key].until)]
         return True
 
     def expire(self) -> list[EndedBackoff]:
-        """Forget what is long over; return the rests that have ended since the last call."""
+        """Delete recovered backoffs; return the backoffs that ended since the last call."""
         now = self._clock()
         ended = []
-        for incarnation, backoff in list(self._rests.items()):
+        for incarnation, backoff in list(self._backoffs.items()):
             if now < backoff.until:
                 continue
-            if not backoff.over:
-                backoff.over = True
+            if not backoff.end_reported:
+                backoff.end_reported = True
                 ended.append(EndedBackoff(incarnation, backoff.until - backoff.began_at))
-            if now >= backoff.until + RECOVERED_SECONDS:
-                del self._rests[incarnation]
+            if now >= backoff.until + RECOVERY_SECONDS:
+                del self._backoffs[incarnation]
         return ended
 
-    # Asking
-
     def is_leaving(self, incarnation: Incarnation) -> bool:
-        """Whether a incarnation of a worker has said that it leaves."""
+        """Return whether a worker has announced that it is leaving."""
         return incarnation in self._leaving
 
     def may_begin(self, incarnation: Incarnation) -> bool:
-        """Whether a request may begin now at a incarnation of a worker."""
+        """Return whether a request may begin at a worker now."""
         if incarnation in self._leaving:
             return False
-        backoff = self._rests.get(incarnation)
-        return backoff is None or self._has_room(backoff)
+        backoff = self._backoffs.get(incarnation)
+        return backoff is None or self._may_begin_after(backoff)
 
-    def _has_room(self, backoff: _Rest) -> bool:
+    def _may_begin_after(self, backoff: _Backoff) -> bool:
         now = self._clock()
         if now < backoff.until:
             return False
-        return backoff.running < backoff.max_in_flight or now >= backoff.until + RECOVERED_SECONDS
+        return backoff.in_flight < backoff.max_in_flight or now >= backoff.until + RECOVERY_SECONDS
 
-    def withheld(self, starts: Iterable[Incarnation]) -> frozenset[Incarnation]:
-        """Return those of some workers at which no request may begin now."""
-        if not self._leaving and not self._rests:
+    def withheld(self, incarnations: Iterable[Incarnation]) -> frozenset[Incarnation]:
+        """Return the subset of workers at which no request may begin now."""
+        if not self._leaving and not self._backoffs:
             return frozenset()
-        return frozenset(one for one in starts if not self.may_begin(one))
+        return frozenset(
+            incarnation for incarnation in incarnations if not self.may_begin(incarnation)
+        )
 
     def backoff_until(self, incarnation: Incarnation) -> float:
-        """Return when the backoff of a worker ends; long ago for one that asked for none."""
-        backoff = self._rests.get(incarnation)
+        """Return when the backoff of a worker ends, minus infinity if it has requested none."""
+        backoff = self._backoffs.get(incarnation)
         return backoff.until if backoff is not None else float("-inf")
 
     @property
     def backing_off_count(self) -> int:
-        """The number of workers that backoff now."""
+        """The number of workers in a backoff now."""
         now = self._clock()
-        return sum(now < backoff.until for backoff in self._rests.values())
-
-    # The first requests after a backoff
+        return sum(now < backoff.until for backoff in self._backoffs.values())
 
     def begin(self, incarnation: Incarnation) -> RecoverySlot | None:
-        """A request is sent to a worker; return its place if it is among the first after a backoff."""
-        backoff = self._rests.get(incarnation)
+        """Count a request that is sent to a worker.
+
+        :return: its slot if the worker is in a backoff or recovers from one, otherwise ``None``.
+        """
+        backoff = self._backoffs.get(incarnation)
         if backoff is None:
             return None
-        backoff.running += 1
+        backoff.in_flight += 1
         return RecoverySlot(incarnation, backoff.number)
 
-    def end(self, turn: RecoverySlot | None, was_served: bool) -> bool:
-        """Such a request has ended; return whether others may begin for it.
+    def end(self, slot: RecoverySlot | None, was_served: bool) -> bool:
+        """Release the slot of a request that has ended.
 
-        :param was_served: its worker ran it.
+        :param was_served: the worker ran the request.
+        :return: whether other requests may begin as a result.
         """
-        backoff = self._rests.get(turn.incarnation) if turn is not None else None
-        if backoff is None or backoff.number != turn.backoff:
+        backoff = self._backoffs.get(slot.incarnation) if slot is not None else None
+        if backoff is None or backoff.number != slot.backoff:
             return False
-        backoff.running -= 1
+        backoff.in_flight -= 1
         if was_served:
-            # Twice as many for each would let in all that waits when a few are served together.
+            # Doubling here would multiply the limit when several requests end in one round.
             backoff.max_in_flight += 1
-        if backoff.max_in_flight >= MOST_AFTER_REST and self._clock() >= backoff.until:
-            del self._rests[turn.incarnation]
+        if backoff.max_in_flight >= MAX_CONCURRENCY_LIMIT and self._clock() >= backoff.until:
+            del self._backoffs[slot.incarnation]
         return True
--- a/tests/unit/forwarding/test_crash_ledger.py
+++ b/tests/unit/forwarding/test_crash_ledger.py
@@ -8,10 +8,10 @@
 from wheelslip.deployment import Incarnation
 from wheelslip.routing import crash_ledger
 from wheelslip.routing.crash_ledger import (
-    FORGOTTEN_SECONDS,
-    MAX_REFUSED_SECONDS,
-    REFUSED_SECONDS,
+    BASE_REFUSAL_SECONDS,
+    MAX_REFUSAL_SECONDS,
     REPORT_WAIT_SECONDS,
+    RETENTION_SECONDS,
     Crash,
     CrashLedger,
     FingerprintStatus,
@@ -145,16 +145,16 @@
 def test_refusal_expires_to_trial_and_doubles_after_another_crash(ledger, clock):
     for number in range(3):
         ledger.record(crash(number))
-    assert ledger.refused_seconds("c") == REFUSED_SECONDS
-    clock.now += REFUSED_SECONDS
+    assert ledger.refused_seconds("c") == BASE_REFUSAL_SECONDS
+    clock.now += BASE_REFUSAL_SECONDS
     assert ledger.status("c") is FingerprintStatus.TRIAL
     ledger.record(crash(4))
     assert ledger.status("c") is FingerprintStatus.REFUSED
-    assert ledger.refused_seconds("c") == 2 * REFUSED_SECONDS
+    assert ledger.refused_seconds("c") == 2 * BASE_REFUSAL_SECONDS
     for number in range(5, 12):
         ledger.record(crash(number))
-    assert ledger.refused_seconds("c") == MAX_REFUSED_SECONDS
-    clock.now += MAX_REFUSED_SECONDS
+    assert ledger.refused_seconds("c") == MAX_REFUSAL_SECONDS
+    clock.now += MAX_REFUSAL_SECONDS
     ledger.clear(ledger.crashes("c"))
     assert ledger.status("c") is FingerprintStatus.FREE
 
@@ -162,7 +162,7 @@
 def test_fingerprint_without_recent_crash_is_evicted(ledger, clock):
     for number in range(3):
         ledger.record(crash(number))
-    clock.now += FORGOTTEN_SECONDS + 1
+    clock.now += RETENTION_SECONDS + 1
     ledger.record(crash(1, "other"))
     assert len(ledger) == 1
 
--- a/tests/unit/forwarding/test_named_limits.py
+++ b/tests/unit/forwarding/test_named_limits.py
@@ -4,12 +4,12 @@
 
 from wheelslip.deployment import Incarnation
 from wheelslip.routing.named_limits import (
-    ANSWERS_TO_LIFT,
-    FORGOTTEN_SECONDS,
+    LIFTED_REPORT_SECONDS,
+    MAX_INCARNATIONS,
     MAX_RATE,
-    MAX_STARTS,
     REORDER_SECONDS,
-    REPEATED_SECONDS,
+    RESPONSES_TO_LIFT,
+    RETENTION_SECONDS,
     LimitReport,
     WorkerRateLimits,
 )
@@ -33,7 +33,7 @@
     clock.now += 1.0
     sent_at = clock.now
     clock.now += 0.1
-    for _ in range(ANSWERS_TO_LIFT):
+    for _ in range(RESPONSES_TO_LIFT):
         assert limits.rate(A) == 2.0
         assert limits.record_no_limit(A, sent_at) == LimitReport(A, None, 0.1)
     assert limits.rate(A) is None
@@ -79,8 +79,10 @@
     """At hundreds of nodes before a worker that takes one request a second, none sees two soon."""
     limits.record_limit(A, 1.0)
     clock.now += 1.0
-    reports = [LimitReport(A, None, 0.01)] * ANSWERS_TO_LIFT
-    assert [limits.count_report(one) for one in reports] == [False] * (ANSWERS_TO_LIFT - 1) + [True]
+    reports = [LimitReport(A, None, 0.01)] * RESPONSES_TO_LIFT
+    assert [limits.count_report(one) for one in reports] == [False] * (RESPONSES_TO_LIFT - 1) + [
+        True
+    ]
     assert limits.rate(A) is None
 
 
@@ -129,7 +131,7 @@
 
 def test_observation_of_absent_incarnation_expires(limits, clock):
     limits.record_limit(A, 1.0)
-    clock.now += FORGOTTEN_SECONDS - 1.0
+    clock.now += RETENTION_SECONDS - 1.0
     limits.expire(())
     assert limits.rate(A) == 1.0
     clock.now += 2.0
@@ -144,7 +146,7 @@
     clock.now += 1.0
     limits.merge(LimitReport(A, None, 0.0))
     assert [one.rate for one in limits.reports()] == [None]
-    clock.now += REPEATED_SECONDS + 0.1
+    clock.now += LIFTED_REPORT_SECONDS + 0.1
     assert limits.reports() == []
 
 
@@ -159,6 +161,6 @@
 def test_number_of_incarnations_and_rate_are_bounded(limits):
     limits.record_limit(A, float("inf"))
     assert limits.rate(A) == MAX_RATE
-    for number in range(MAX_STARTS):
+    for number in range(MAX_INCARNATIONS):
         limits.record_limit(Incarnation(f"b/{number}"), 1.0)
-    assert limits.count() == MAX_STARTS and limits.rate(A) is None
+    assert limits.count() == MAX_INCARNATIONS and limits.rate(A) is None
--- a/tests/unit/forwarding/test_tenant_limits.py
+++ b/tests/unit/forwarding/test_tenant_limits.py
@@ -13,7 +13,7 @@
 from wheelslip.peers.dispatcher_health import DispatcherHealth, NoDispatcher
 from wheelslip.peers.limit_votes import TICK_SECONDS, LimitVotes
 from wheelslip.routing.limit_authority import (
-    UNKNOWN_FLEET,
+    DEFAULT_FLEET_SIZE,
     VOTE_VALIDITY_SECONDS,
     SingleNodeAuthority,
     VotedAuthority,
@@ -313,7 +313,7 @@
     clock = Clock()
     authority = VotedAuthority("9", lambda: ["1", "2"], lambda: 0.0, clock)
     authority.record_vote("9")
-    assert authority.share() == pytest.approx(1 / UNKNOWN_FLEET)
+    assert authority.share() == pytest.approx(1 / DEFAULT_FLEET_SIZE)
 
 
 def test_restart_of_all_nodes_allows_no_second_burst():
--- a/tests/unit/forwarding/test_worker_notices.py
+++ b/tests/unit/forwarding/test_worker_notices.py
@@ -9,8 +9,8 @@
 from wheelslip.routing import worker_notices
 from wheelslip.routing.worker_notices import (
     INITIAL_CONCURRENCY,
-    MAX_REST_SECONDS,
-    RECOVERED_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    RECOVERY_SECONDS,
     WorkerNotices,
 )
 
@@ -59,7 +59,7 @@
 
 def test_infinite_backoff_is_capped(notices, clock):
     notices.record_backoff(A, float("inf"))
-    clock.now += MAX_REST_SECONDS + 0.1
+    clock.now += MAX_BACKOFF_SECONDS + 0.1
     assert notices.may_begin(A)
 
 
@@ -118,7 +118,7 @@
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
     notices.begin(A)
-    clock.now += RECOVERED_SECONDS
+    clock.now += RECOVERY_SECONDS
     assert notices.may_begin(A)
     assert notices.withheld([A]) == frozenset()
 
@@ -132,7 +132,7 @@
 
 
 def test_stored_notices_are_bounded_and_newest_are_kept(notices, monkeypatch):
-    monkeypatch.setattr(worker_notices, "MAX_STARTS", 3)
+    monkeypatch.setattr(worker_notices, "MAX_INCARNATIONS", 3)
     for number in range(5):
         notices.record_leaving(Incarnation(f"w-{number}"))
         notices.record_backoff(Incarnation(f"w-{number}"), 1.0 + number)
@@ -182,7 +182,7 @@
                 self.leaving.add(start)
             case ("rest", start, seconds):
                 self.notices.record_backoff(start, seconds)
-                ends_at = self.clock.now + min(seconds, MAX_REST_SECONDS)
+                ends_at = self.clock.now + min(seconds, MAX_BACKOFF_SECONDS)
                 self.ends_at[start] = max(ends_at, self.ends_at.get(start, ends_at))
             case ("begin", start) if self.notices.may_begin(start):
                 self.turns.append(self.notices.begin(start))
