--- a/src/wheelslip/routing/crash_ledger.py
+++ b/src/wheelslip/routing/crash_ledger.py
@@ -15,8 +15,8 @@
 from wheelslip.deployment import Incarnation
 
 TRIAL_THRESHOLD = 2
-"""Number of crashes from which a fingerprint is suspected. The fleet runs one suspected request of a
-service at a time, so that causes can be told apart. A single crash may have any cause."""
+"""Number of crashes from which a fingerprint is suspected. The fleet runs one suspected request of
+a service at a time, so that causes can be told apart. A single crash may have any cause."""
 
 REFUSAL_THRESHOLD = 3
 """Number of crashes from which a fingerprint is refused, provided that one occurred while it ran
@@ -31,7 +31,7 @@
 trials are allowed again, since the workers may have been repaired."""
 
 MAX_REFUSAL_SECONDS = 600.0
-"""Upper bound of the refusal period, and so of the rate of crashes at a worker that stays faulty."""
+"""Upper bound of the refusal period."""
 
 REPORT_WAIT_SECONDS = 1.0
 """Time for which a refusal waits for other nodes to report what else ran at the crashed worker, if
--- a/tests/unit/forwarding/test_budget_and_split.py
+++ b/tests/unit/forwarding/test_budget_and_split.py
@@ -1,4 +1,4 @@
-"""Retry window, smooth split, holdings."""
+"""Retry window, weighted round robin, and cached prompt parts."""
 
 from wheelslip.routing.holdings import WorkerHoldings, chain_of
 from wheelslip.routing.retry_window import RetryWindow
@@ -7,17 +7,17 @@
 
 def test_retries_stay_below_ratio_in_every_window():
     window = RetryWindow(ratio=0.2, window_seconds=10.0)
-    firsts, repeats = [], []
+    first_attempts, retries = [], []
     for tick in range(4000):
         now = tick * 0.01
         if tick < 2000 or tick % 40 == 0:
             window.record_first_attempt(now)
-            firsts.append(now)
+            first_attempts.append(now)
         if window.take_retry(now):
-            repeats.append(now)
+            retries.append(now)
     for start in (0.0, 5.0, 12.0, 20.0, 24.0, 29.0):
-        first = sum(start - 10 <= time < start + 10 for time in firsts)
-        assert sum(start <= time < start + 10 for time in repeats) <= 0.2 * first
+        count = sum(start - 10 <= time < start + 10 for time in first_attempts)
+        assert sum(start <= time < start + 10 for time in retries) <= 0.2 * count
 
 
 def test_node_without_traffic_gets_no_retries():
--- a/tests/unit/forwarding/test_crash_ledger.py
+++ b/tests/unit/forwarding/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which contents are free, tried alone and refused, and that the order of news does not matter."""
+"""Status of request fingerprints by their crashes, independent of the order of reports."""
 
 import pytest
 from hypothesis import given
@@ -23,17 +23,17 @@
     return CrashLedger(clock)
 
 
-def crash(number: int, content: str = "c", alone: bool | None = None) -> Crash:
-    """The crash of an engine; from the third on the content ran alone unless told otherwise."""
-    return Crash(content, Incarnation(f"i-{number}/7"), number >= 2 if alone is None else alone)
+def crash(number: int, fingerprint: str = "c", alone: bool | None = None) -> Crash:
+    """Return a crash; by default the fingerprint ran alone from the third worker on."""
+    return Crash(fingerprint, Incarnation(f"i-{number}/7"), number >= 2 if alone is None else alone)
 
 
 def test_successive_crashes_lead_from_free_to_trial_to_refused(ledger):
-    standings = []
+    statuses = []
     for number in range(3):
         ledger.record(crash(number))
-        standings.append(ledger.status("c"))
-    assert standings == [FingerprintStatus.FREE, FingerprintStatus.TRIAL, FingerprintStatus.REFUSED]
+        statuses.append(ledger.status("c"))
+    assert statuses == [FingerprintStatus.FREE, FingerprintStatus.TRIAL, FingerprintStatus.REFUSED]
     assert ledger.refused_count() == 1
 
 
@@ -52,8 +52,7 @@
 
 
 def test_crash_beside_suspected_fingerprint_refuses_only_after_the_other_is_cleared(ledger):
-    """``/safe/x`` was refused: it had its turn at an engine that a deadly content reached for the
-    second time, so that this one did not need a turn yet."""
+    """A fingerprint with one crash needs no trial yet, so it can run beside one on trial."""
     for number in (0, 1):
         ledger.record(crash(number))
     ledger.record(crash(5, "beside", alone=False))
@@ -65,9 +64,7 @@
 
 
 def test_refusal_waits_for_reports_of_other_nodes(ledger):
-    """A node that sees the third crash knows at once; what other nodes lost there it learns 0.1 to 0.3 s
-    later. ``/safe/x`` was refused 17 times in between, with a Retry-After of 60 s, and then cleared:
-    n6 53.823 ``content_refused`` 0d97, n8 53.808 ``engine_ended_under`` 0642 at the same start."""
+    """Other nodes may report a second fingerprint at the crashed worker shortly afterwards."""
     for number in (0, 1):
         ledger.record(crash(number))
     ledger.record(crash(5, "beside", alone=False))
@@ -87,9 +84,7 @@
 
 
 def test_crash_beside_uncleared_fingerprints_does_not_refuse(ledger, clock):
-    """``/plain/x`` was refused 4 times in a second: it had its turn at an engine at which a deadly content
-    ran for its first time. n2 41.158 ``engine_ended_under`` 0642 alone, 0d97, 7348; 42.158
-    ``content_refused`` 0642; 43.190 the second engine ended under 7348, the deadly one."""
+    """A fingerprint with a single crash can be the cause of the crash of one on trial."""
     for number in (0, 1, 2):
         ledger.record(crash(number))
     ledger.record(crash(2, "harmless", alone=False))
@@ -103,8 +98,7 @@
 
 
 def test_clearing_received_before_its_crash_does_not_delay_refusal(ledger):
-    """Two nodes that had heard the same judged differently: at the one that heard the clearing first, the
-    other content was not taken to be known at that engine, and the verdict waited for news of it."""
+    """Nodes that receive a clearing before and after its crash must reach the same status."""
     ledger.clear([crash(2, "beside")])
     ledger.record(crash(2, "beside"))
     ledger.record(crash(5, "beside"))
@@ -178,24 +172,24 @@
     assert ledger.status("c") is FingerprintStatus.REFUSED
 
 
-NEWS = st.tuples(st.booleans(), st.sampled_from("ab"), st.integers(0, 4))
+REPORT = st.tuples(st.booleans(), st.sampled_from("ab"), st.integers(0, 4))
 
 
-def told(news) -> CrashLedger:
+def ledger_with(reports) -> CrashLedger:
     ledger = CrashLedger(Clock())
-    for clears, content, number in news:
-        if clears:
-            ledger.clear([crash(number, content)])
+    for is_clearing, fingerprint, number in reports:
+        if is_clearing:
+            ledger.clear([crash(number, fingerprint)])
         else:
-            ledger.record(crash(number, content))
+            ledger.record(crash(number, fingerprint))
     return ledger
 
 
-@given(st.lists(NEWS, max_size=30), st.randoms())
-def test_reports_in_any_order_give_same_status(news, random_source):
-    other = [*news, *news[:5]]
-    random_source.shuffle(other)
-    first, second = told(news), told(other)
-    for content in "ab":
-        assert first.status(content) is second.status(content)
-        assert set(first.crashes(content)) == set(second.crashes(content))
+@given(st.lists(REPORT, max_size=30), st.randoms())
+def test_reports_in_any_order_give_same_status(reports, random_source):
+    shuffled = [*reports, *reports[:5]]
+    random_source.shuffle(shuffled)
+    first, second = ledger_with(reports), ledger_with(shuffled)
+    for fingerprint in "ab":
+        assert first.status(fingerprint) is second.status(fingerprint)
+        assert set(first.crashes(fingerprint)) == set(second.crashes(fingerprint))
--- a/tests/unit/forwarding/test_named_limits.py
+++ b/tests/unit/forwarding/test_named_limits.py
@@ -1,4 +1,4 @@
-"""A worker's limit is of one start, and no older observation replaces a newer one."""
+"""Rate limits that workers announce, and their exchange between nodes."""
 
 import pytest
 
@@ -76,13 +76,13 @@
 
 
 def test_responses_without_limit_to_several_nodes_lift_it(limits, clock):
-    """At hundreds of nodes before a worker that takes one request a second, none sees two soon."""
+    """With many nodes and a low limit, no single node receives enough responses."""
     limits.record_limit(A, 1.0)
     clock.now += 1.0
     reports = [LimitReport(A, None, 0.01)] * RESPONSES_TO_LIFT
-    assert [limits.count_report(one) for one in reports] == [False] * (RESPONSES_TO_LIFT - 1) + [
-        True
-    ]
+    assert [limits.count_report(report) for report in reports] == [False] * (
+        RESPONSES_TO_LIFT - 1
+    ) + [True]
     assert limits.rate(A) is None
 
 
@@ -94,27 +94,27 @@
 
 
 def test_nodes_with_conflicting_observations_converge(clock):
-    """Whichever observation was first, and however long each message takes."""
+    """Holds for either order of the observations and any message delay."""
     for lead in (-1.0, -REORDER_SECONDS, -0.01, 0.0, 0.01, REORDER_SECONDS, 1.0):
         for delay in (0.0, 0.001, 0.2):
-            assert agree(clock, lead, delay)
+            assert converges(clock, lead, delay)
 
 
-def agree(clock, lead: float, delay: float) -> bool:
-    """Let one node see a limit and another one none, and let each correct the other."""
+def converges(clock, lead: float, delay: float) -> bool:
+    """Return whether two nodes with conflicting observations agree after exchanging corrections."""
     nodes = [WorkerRateLimits(clock), WorkerRateLimits(clock)]
     clock.now += 100.0
-    seen_at = clock.now
+    observed_at = clock.now
     nodes[0].merge(LimitReport(A, 5.0, 0.0))
     nodes[1].merge(LimitReport(A, 9.0, 1.0))
     clock.now += 2.0
-    nodes[1].merge(LimitReport(A, None, clock.now - seen_at - lead))
+    nodes[1].merge(LimitReport(A, None, clock.now - observed_at - lead))
     reports = [nodes[0].report(A)]
     for number in range(10):
         clock.now += delay
         receiver = nodes[(number + 1) % 2]
-        for one in reports:
-            receiver.count_report(one)
+        for report in reports:
+            receiver.count_report(report)
         reports = receiver.corrections(reports)
     return nodes[0].rate(A) == nodes[1].rate(A)
 
@@ -145,7 +145,7 @@
     limits.record_limit(A, 1.0)
     clock.now += 1.0
     limits.merge(LimitReport(A, None, 0.0))
-    assert [one.rate for one in limits.reports()] == [None]
+    assert [report.rate for report in limits.reports()] == [None]
     clock.now += LIFTED_REPORT_SECONDS + 0.1
     assert limits.reports() == []
 
@@ -155,7 +155,7 @@
     assert limits.drain_direct_reports() == [LimitReport(A, 2.0, 0.0)]
     limits.merge(LimitReport(LATER_A, 3.0, 0.0))
     assert limits.drain_direct_reports() == []
-    assert [one.incarnation for one in limits.reports()] == [A, LATER_A]
+    assert [report.incarnation for report in limits.reports()] == [A, LATER_A]
 
 
 def test_number_of_incarnations_and_rate_are_bounded(limits):
--- a/tests/unit/forwarding/test_tenant_limits.py
+++ b/tests/unit/forwarding/test_tenant_limits.py
@@ -1,4 +1,4 @@
-"""Tenants' limits over many nodes: votes, buckets, and the bound under any history of faults."""
+"""Tenant limits across nodes: votes, token buckets, and the bound under random fault histories."""
 
 import random
 from dataclasses import dataclass, field
@@ -33,7 +33,7 @@
 WINDOW_SECONDS = 8.0
 OVERAGE = 0.1
 TOLERANCE = LimitTolerance(WINDOW_SECONDS, OVERAGE, 110_000.0)
-LARGEST = 9000.0
+LARGEST_REQUEST = 9000.0
 LIMIT = TenantLimit(20_000.0, 20_000.0, counts_tokens=True, plain_tokens=200.0)
 
 
@@ -50,7 +50,7 @@
 
 
 class Socket:
-    """Hands votes over at once, where the network lets them through."""
+    """Delivers vote messages immediately unless the network drops them."""
 
     def __init__(self, world: "World", number: int):
         self.world, self.number = world, number
@@ -71,7 +71,7 @@
 
 
 class Node:
-    """One start of one node."""
+    """One incarnation of a node."""
 
     def __init__(self, world: "World", number: int):
         self.number, self.address = number, str(number)
@@ -91,8 +91,8 @@
             clock,
         )
 
-    def take(self, units: float) -> bool:
-        """Count one request here; return whether it may run."""
+    def charge(self, units: float) -> bool:
+        """Charge a request at this node; return whether it is admitted."""
         try:
             self.limits.charge(request(units))
         except (TenantLimited, NoAuthority):
@@ -102,7 +102,7 @@
 
 @dataclass
 class World:
-    """Nodes, who of them is a relay, and what the network lets through."""
+    """Nodes, the relays among them, and the state of the network."""
 
     clock: Clock = field(default_factory=Clock)
     nodes: list[Node] = field(default_factory=list)
@@ -118,28 +118,31 @@
         self.nodes = [Node(self, number) for number in range(NODES)]
 
     def relays(self) -> list[str]:
-        return [str(one) for one in self.relay_numbers]
+        return [str(number) for number in self.relay_numbers]
 
     def passes(self, sender: int, receiver: int) -> bool:
         stopped = self.dead | self.frozen
         return (sender, receiver) not in self.cuts and not {sender, receiver} & stopped
 
     def advance(self, ticks: int) -> None:
-        """Let time pass; nodes vote, and relays that are dead lose their place."""
+        """Advance the clock; nodes vote, and failed relays are replaced after their lease."""
         for _ in range(ticks):
             self.clock.now += TICK_SECONDS
-            for one in list(self.relay_numbers):
-                if one in self.dead and self.clock.now - self.died_at[one] > RELAY_LEASE_SECONDS:
-                    self.relay_numbers.remove(one)
-                    self._elect()
+            for relay in list(self.relay_numbers):
+                if (
+                    relay in self.dead
+                    and self.clock.now - self.died_at[relay] > RELAY_LEASE_SECONDS
+                ):
+                    self.relay_numbers.remove(relay)
+                    self._elect_relay()
             for node in self.nodes:
                 if node.number not in self.dead | self.frozen:
                     node.votes.tick()
 
-    def _elect(self) -> None:
-        living = [n for n in range(NODES) if n not in self.dead | set(self.relay_numbers)]
-        if living:
-            self.relay_numbers.append(living[0])
+    def _elect_relay(self) -> None:
+        alive = [n for n in range(NODES) if n not in self.dead | set(self.relay_numbers)]
+        if alive:
+            self.relay_numbers.append(alive[0])
 
     def kill(self, number: int) -> None:
         self.dead.add(number)
@@ -155,13 +158,13 @@
             self.kill(number)
             self.restart(number)
 
-    def cut(self, first: int, both_ways: bool) -> None:
-        """Cut the first nodes, some relays among them, from the others."""
+    def partition(self, first: int, both_ways: bool) -> None:
+        """Partition the first nodes, which include relays, from the others."""
         pairs = [(a, b) for a in range(first) for b in range(first, NODES)]
         self.cuts |= {*pairs, *((b, a) for a, b in pairs if both_ways)}
 
-    def ask(self, number: int, units: float) -> bool:
-        """Have a node serve a request; return whether it ran."""
+    def send(self, number: int, units: float) -> bool:
+        """Send a request to a node; return whether it ran."""
         if number in self.dead | self.frozen:
             return False
         node = self.nodes[number]
@@ -171,40 +174,40 @@
             if may_run is not None:
                 break
         if may_run is None:
-            may_run = node.take(units)
+            may_run = node.charge(units)
         if may_run:
             self.ran.append((self.clock.now, units))
         return may_run
 
     def _dispatched(self, node: Node, units: float) -> bool | None:
-        """Return whether the dispatcher lets a request run, ``None`` when none answers."""
+        """Return whether the dispatcher admits a request, ``None`` if none responds."""
         try:
             return self._count(node, node.health.choose(self.relays()), units)
         except NoDispatcher:
             return None
 
     def _count(self, node: Node, meter: str, units: float) -> bool | None:
-        """Return whether a meter lets a request run, ``None`` when it does not answer."""
+        """Return whether a meter admits a request, ``None`` if it does not respond."""
         other = self.nodes[int(meter)]
         if other is node:
-            return node.take(units)
-        allowed = other.take(units) if self.passes(node.number, other.number) else None
+            return node.charge(units)
+        allowed = other.charge(units) if self.passes(node.number, other.number) else None
         if allowed is None or not self.passes(other.number, node.number):
             node.health.missed(meter)
             return None
         node.health.answered(meter, 0.001)
         return allowed
 
-    def most_in_a_window(self) -> float:
-        """Return the most units that ran within any window."""
-        most, total, first = 0.0, 0.0, 0
-        for at, units in self.ran:
+    def max_units_in_window(self) -> float:
+        """Return the maximum number of units that ran within any window."""
+        maximum, total, first = 0.0, 0.0, 0
+        for ran_at, units in self.ran:
             total += units
-            while self.ran[first][0] <= at - WINDOW_SECONDS:
+            while self.ran[first][0] <= ran_at - WINDOW_SECONDS:
                 total -= self.ran[first][1]
                 first += 1
-            most = max(most, total)
-        return most
+            maximum = max(maximum, total)
+        return maximum
 
 
 BOUND = LIMIT.rate * WINDOW_SECONDS + LIMIT.burst + TOLERANCE.excess(LIMIT)
@@ -216,30 +219,30 @@
     for _ in range(200):
         world.advance(1)
         for number in range(NODES):
-            world.ask(number, 1000.0)
+            world.send(number, 1000.0)
     seconds = 200 * TICK_SECONDS
     ran = sum(units for _, units in world.ran)
     assert ran == pytest.approx(LIMIT.rate * seconds + LIMIT.burst, rel=0.02)
-    assert world.most_in_a_window() <= LIMIT.rate * WINDOW_SECONDS + 1.06 * LIMIT.burst
+    assert world.max_units_in_window() <= LIMIT.rate * WINDOW_SECONDS + 1.06 * LIMIT.burst
 
 
 @pytest.mark.parametrize("askers", [1, 3, NODES])
 def test_requests_below_limit_are_accepted_for_any_number_of_asking_nodes(askers):
     world = World()
     world.advance(20)
-    # 16,000 units a second in requests of 8,000, at some of the nodes only.
+    # 16,000 units per second, below the limit of 20,000, at some of the nodes only.
     for second in range(40):
         world.advance(2)
-        assert world.ask(second % askers, 8000.0)
+        assert world.send(second % askers, 8000.0)
 
 
 def test_request_above_burst_passes_with_full_bucket_and_leaves_negative_level():
     world = World()
     world.advance(20)
-    assert world.ask(5, 50_000.0)
-    assert not world.ask(5, 1000.0)
+    assert world.send(5, 50_000.0)
+    assert not world.send(5, 1000.0)
     world.advance(8)
-    assert world.ask(5, 1000.0)
+    assert world.send(5, 1000.0)
 
 
 def test_tenant_is_served_within_vote_validity_after_meter_failure():
@@ -248,8 +251,8 @@
     world.kill(0)
     while world.nodes[1].authority.share() < 0.9:
         world.advance(1)
-        # The reserve of a standby meter serves until then.
-        assert all(world.ask(number, 500.0) for number in range(5, 15))
+        # A standby meter admits requests from its reserve meanwhile.
+        assert all(world.send(number, 500.0) for number in range(5, 15))
     assert world.clock.now - world.died_at[0] <= VOTE_VALIDITY_SECONDS + 2 * TICK_SECONDS
 
 
@@ -258,7 +261,7 @@
     world.advance(20)
     world.frozen.add(0)
     world.advance(2)
-    assert all(world.ask(number, 1000.0) for number in range(1, NODES))
+    assert all(world.send(number, 1000.0) for number in range(1, NODES))
     world.frozen.discard(0)
     world.advance(4)
     assert world.nodes[0].authority.share() == 1.0
@@ -269,11 +272,11 @@
     world = World()
     world.advance(20)
     world.frozen.add(0)
-    passed = 0.0
+    admitted = 0.0
     for meter in (1, 2):
-        while world.nodes[meter].take(1000.0):
-            passed += 1000.0
-    assert 0 < passed <= RESERVE_SHARE * TOLERANCE.excess(LIMIT)
+        while world.nodes[meter].charge(1000.0):
+            admitted += 1000.0
+    assert 0 < admitted <= RESERVE_SHARE * TOLERANCE.excess(LIMIT)
 
 
 def test_stopping_meter_transfers_votes_immediately():
@@ -287,7 +290,7 @@
 
 def test_moved_votes_are_counted_once_in_fleet_size():
     world = World()
-    # At first no node knows a relay, so each votes for itself.
+    # Without a known relay, each node votes for itself.
     relays, world.relay_numbers[:] = list(world.relay_numbers), []
     world.advance(3)
     world.relay_numbers[:] = relays
@@ -303,7 +306,7 @@
     for _ in range(8):
         world.advance(1)
         for number in range(1, NODES):
-            world.ask(number, 1000.0)
+            world.send(number, 1000.0)
     world.frozen.discard(0)
     assert world.nodes[0].authority.share() <= 1 / NODES + OVERAGE
     assert world.nodes[1].authority.share() > 0.9
@@ -325,17 +328,17 @@
     for number in range(NODES):
         world.restart(number)
     world.advance(4)
-    asked = sum(world.ask(number, 2000.0) for number in range(NODES)) * 2000.0
-    assert asked <= LIMIT.rate * 4 * TICK_SECONDS + LIMIT.burst * 0.05
+    admitted = sum(world.send(number, 2000.0) for number in range(NODES)) * 2000.0
+    assert admitted <= LIMIT.rate * 4 * TICK_SECONDS + LIMIT.burst * 0.05
 
 
-def limits_of_one_node(clock: Clock, limits: dict[str, TenantLimit]) -> TenantLimits:
+def single_node_limits(clock: Clock, limits: dict[str, TenantLimit]) -> TenantLimits:
     return TenantLimits(lambda: limits, SingleNodeAuthority(clock), clock)
 
 
 def test_highest_priority_is_admitted_first_at_the_limit():
     clock = Clock()
-    limits = limits_of_one_node(clock, {"t": LIMIT})
+    limits = single_node_limits(clock, {"t": LIMIT})
     limits.update()
     clock.now += 10.0
     limits.charge(request(20_000.0, priority=1))
@@ -346,32 +349,32 @@
 
 def test_refused_callers_receive_staggered_retry_times():
     clock = Clock()
-    limits = limits_of_one_node(clock, {"t": LIMIT})
+    limits = single_node_limits(clock, {"t": LIMIT})
     limits.update()
     clock.now += 10.0
     limits.charge(request(20_000.0))
-    told = []
+    retry_seconds = []
     for _ in range(5):
         with pytest.raises(TenantLimited) as caught:
             limits.charge(request(10_000.0))
-        told.append(caught.value.retry_seconds)
-    assert told == pytest.approx([0.45, 0.95, 1.45, 1.95, 2.45])
+        retry_seconds.append(caught.value.retry_seconds)
+    assert retry_seconds == pytest.approx([0.45, 0.95, 1.45, 1.95, 2.45])
 
 
 def test_lowered_limit_applies_at_once_and_new_tenant_starts_with_full_burst():
     clock = Clock()
-    now = {"t": LIMIT}
-    limits = TenantLimits(lambda: now, SingleNodeAuthority(clock), clock)
+    configured = {"t": LIMIT}
+    limits = TenantLimits(lambda: configured, SingleNodeAuthority(clock), clock)
     limits.update()
     clock.now += 10.0
-    now = {"t": LIMIT._replace(rate=100.0, burst=1000.0), "new": LIMIT}
+    configured = {"t": LIMIT._replace(rate=100.0, burst=1000.0), "new": LIMIT}
     limits.charge(request(1000.0))
     with pytest.raises(TenantLimited):
         limits.charge(request(1000.0))
     limits.charge(request(20_000.0, "new"))
     with pytest.raises(TenantLimited):
         limits.charge(request(2000.0, "new"))
-    now = {}
+    configured = {}
     assert limits.charge(request(1e9)) is None
 
 
@@ -389,7 +392,7 @@
 
 
 def apply_fault(world: World, kind: str, number: int) -> None:
-    """Have one event of a history happen."""
+    """Apply one event of a fault history."""
     match kind:
         case "kill":
             world.kill(number)
@@ -400,7 +403,7 @@
         case "wake":
             world.frozen.discard(number)
         case "cut" | "cut one way":
-            world.cut(number, both_ways=kind == "cut")
+            world.partition(number, both_ways=kind == "cut")
         case "heal":
             world.cuts.clear()
         case "stop":
@@ -423,5 +426,5 @@
         for _ in range(ticks):
             world.advance(1)
             for _ in range(40):
-                world.ask(source.randrange(NODES), source.choice([900.0, LARGEST]))
-    assert world.most_in_a_window() <= BOUND
+                world.send(source.randrange(NODES), source.choice([900.0, LARGEST_REQUEST]))
+    assert world.max_units_in_window() <= BOUND
--- a/tests/unit/forwarding/test_worker_allowance.py
+++ b/tests/unit/forwarding/test_worker_allowance.py
@@ -1,4 +1,4 @@
-"""The limit that a worker names binds all nodes together, under any history of faults."""
+"""Worker rate limits apply to all nodes together, under random fault histories."""
 
 import random
 from types import SimpleNamespace
@@ -19,15 +19,15 @@
 
 LIMITED, OTHER = Incarnation("a/1"), Incarnation("b/1")
 WINDOW_SECONDS = 4.0
-SHARE, EXTRA = 1.5, 5
+MAX_RATIO, MAX_EXTRA = 1.5, 5
 
 
-def allowed(rate: float) -> float:
-    return SHARE * rate * WINDOW_SECONDS + EXTRA
+def max_allowed(rate: float) -> float:
+    return MAX_RATIO * rate * WINDOW_SECONDS + MAX_EXTRA
 
 
 class Fleet:
-    """Nodes before one limited worker; each counts by its own authority."""
+    """Nodes that share one limited worker; each charges it by its own authority."""
 
     def __init__(self, rate: float):
         self.world = World()
@@ -36,21 +36,24 @@
         self.sent_at: list[float] = []
 
     def allowance(self, number: int) -> WorkerAllowance:
-        """Return that of the present start of a node."""
+        """Return the allowance of the current incarnation of a node."""
         node = self.world.nodes[number]
-        known = self._allowances.get(number)
-        if known is None or known[0] is not node:
+        current = self._allowances.get(number)
+        if current is None or current[0] is not node:
             limits = WorkerRateLimits(self.world.clock)
             limits.record_limit(LIMITED, self.rate)
-            known = self._allowances[number] = (node, WorkerAllowance(limits, node.authority))
-        return known[1]
+            current = self._allowances[number] = (node, WorkerAllowance(limits, node.authority))
+        return current[1]
 
-    def ask(self, number: int) -> bool:
-        """Have a node ask its dispatcher for the worker, or choose by itself; return whether it got it."""
+    def request(self, number: int) -> bool:
+        """Request the worker from a node's dispatcher, or locally if there is none.
+
+        :return: whether the request was granted.
+        """
         world = self.world
         if number in world.dead | world.frozen:
             return False
-        granted = self._take(self._dispatcher(number))
+        granted = self._charge(self._dispatcher(number))
         if granted:
             self.sent_at.append(world.clock.now)
         return granted
@@ -68,7 +71,7 @@
         node.health.missed(address)
         return number
 
-    def _take(self, number: int) -> bool:
+    def _charge(self, number: int) -> bool:
         allowance = self.allowance(number)
         return not allowance.exhausted([LIMITED]) and allowance.charge(LIMITED)
 
@@ -76,11 +79,14 @@
         for _ in range(ticks):
             self.world.advance(1)
             for _ in range(40):
-                self.ask(source.randrange(NODES))
+                self.request(source.randrange(NODES))
 
-    def most_in_a_window(self) -> int:
+    def max_in_window(self) -> int:
         return max(
-            (sum(end - WINDOW_SECONDS < at <= end for at in self.sent_at) for end in self.sent_at),
+            (
+                sum(end - WINDOW_SECONDS < sent_at <= end for sent_at in self.sent_at)
+                for end in self.sent_at
+            ),
             default=0,
         )
 
@@ -92,7 +98,7 @@
     fleet.sent_at.clear()
     fleet.run(160, random.Random(2))
     assert 0.9 * rate <= len(fleet.sent_at) / (160 * TICK_SECONDS) <= 1.05 * rate
-    assert fleet.most_in_a_window() <= allowed(rate)
+    assert fleet.max_in_window() <= max_allowed(rate)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
@@ -108,7 +114,7 @@
     for (kind, number), ticks in history:
         apply_fault(fleet.world, kind, number)
         fleet.run(ticks, source)
-    assert fleet.most_in_a_window() <= allowed(rate)
+    assert fleet.max_in_window() <= max_allowed(rate)
 
 
 def test_worker_receives_requests_soon_after_meter_failure():
@@ -122,9 +128,6 @@
     assert fleet.world.clock.now - killed_at <= VOTE_VALIDITY_SECONDS + 4 * TICK_SECONDS + 1 / 4.0
 
 
-# One node
-
-
 @pytest.fixture
 def limits(clock):
     return WorkerRateLimits(clock)
@@ -136,13 +139,13 @@
 
 
 def fill(clock, allowance) -> None:
-    """Let the buckets of all limited workers fill."""
+    """Let the buckets of all limited workers fill up."""
     allowance.exhausted([LIMITED, OTHER])
     clock.now += 100.0
 
 
-def drained(allowance) -> int:
-    """Take all that there is; return how much it was."""
+def drain(allowance) -> int:
+    """Charge requests until the worker is exhausted; return their number."""
     count = 0
     while not allowance.exhausted([LIMITED]):
         allowance.charge(LIMITED)
@@ -159,23 +162,23 @@
     limits.record_limit(LIMITED, 100.0)
     fill(clock, allowance)
     limits.record_limit(LIMITED, 1.0)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
 
 
 def test_zero_limit_allows_probe_rate(allowance, limits, clock):
     limits.record_limit(LIMITED, 0.0)
     fill(clock, allowance)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
     clock.now += 1.01 / PROBE_RATE
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
 
 
 def test_refund_of_unsent_request_allows_another(allowance, limits, clock):
     limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
     allowance.refund(LIMITED)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
 
 
 def test_worker_without_limit_is_not_charged(allowance, limits, clock):
@@ -190,15 +193,22 @@
 class _Placement:
     """Chooses the first worker that is not excluded."""
 
-    def __init__(self, *starts: Incarnation):
-        self._workers = {one: SimpleNamespace(info=SimpleNamespace(id=one)) for one in starts}
+    def __init__(self, *incarnations: Incarnation):
+        self._workers = {
+            incarnation: SimpleNamespace(info=SimpleNamespace(id=incarnation))
+            for incarnation in incarnations
+        }
 
-    def serves(self, start, service) -> bool:
-        return start in self._workers
+    def serves(self, incarnation, service) -> bool:
+        return incarnation in self._workers
 
     def choose(self, query) -> Placement | None:
-        left = [one for start, one in self._workers.items() if start not in query.excluded]
-        return Placement(left[0]) if left else None
+        available = [
+            worker
+            for incarnation, worker in self._workers.items()
+            if incarnation not in query.excluded
+        ]
+        return Placement(available[0]) if available else None
 
 
 QUERY = PlacementQuery("s")
@@ -209,8 +219,8 @@
     limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
     chosen = [choice.choose(QUERY, clock.now) for _ in range(3)]
-    assert [one.worker.info.id for one in chosen] == [LIMITED, OTHER, OTHER]
-    assert [one.is_counted for one in chosen] == [True, False, False]
+    assert [placement.worker.info.id for placement in chosen] == [LIMITED, OTHER, OTHER]
+    assert [placement.is_counted for placement in chosen] == [True, False, False]
 
 
 def test_callers_receive_staggered_retry_times_when_all_workers_are_exhausted(
@@ -220,17 +230,17 @@
     limits.record_limit(LIMITED, 2.0)
     fill(clock, allowance)
     assert choice.choose(QUERY, clock.now).is_counted
-    told = []
+    retry_seconds = []
     for _ in range(4):
         with pytest.raises(Overloaded) as caught:
             choice.choose(QUERY, clock.now)
-        told.append(caught.value.retry_seconds)
-    assert told == pytest.approx([0.25, 0.75, 1.25, 1.75])
+        retry_seconds.append(caught.value.retry_seconds)
+    assert retry_seconds == pytest.approx([0.25, 0.75, 1.25, 1.75])
 
 
 def test_node_without_authority_uses_no_limited_worker(limits, clock):
-    nobody = SimpleNamespace(share=lambda: 0.0, weighted_seconds=lambda: 0.0)
-    choice = RateLimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, nobody))
+    authority = SimpleNamespace(share=lambda: 0.0, weighted_seconds=lambda: 0.0)
+    choice = RateLimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, authority))
     limits.record_limit(LIMITED, 1000.0)
     clock.now += 100.0
     assert choice.choose(QUERY, clock.now) is None
--- a/tests/unit/forwarding/test_worker_notices.py
+++ b/tests/unit/forwarding/test_worker_notices.py
@@ -1,4 +1,4 @@
-"""What workers said of themselves holds for the start that said it, as long as it said."""
+"""Leaving notices and backoffs of workers, and the concurrency after a backoff."""
 
 import pytest
 from hypothesis import given
@@ -14,7 +14,7 @@
     WorkerNotices,
 )
 
-A, LATER_A, B = (Incarnation(one) for one in ("a/1", "a/2", "b/1"))
+A, LATER_A, B = (Incarnation(name) for name in ("a/1", "a/2", "b/1"))
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 def test_latest_end_of_several_backoffs_applies(notices, clock):
     notices.record_backoff(A, 3.0)
     clock.now += 1.0
-    assert not notices.record_backoff(A, 0.5), "an earlier end takes nothing back"
+    assert not notices.record_backoff(A, 0.5), "an earlier end does not shorten the backoff"
     clock.now += 1.0
     assert not notices.may_begin(A)
     assert notices.record_backoff(A, 5.0)
@@ -64,52 +64,48 @@
 
 
 def test_concurrency_after_backoff_doubles_each_round(notices, clock):
-    """7 of 20 requests that had waited at a worker with room for two were turned away after its rest.
-
-    The number was doubled with each request served, so two that were served together made 4 and 8 of
-    it before any of those four had an answer: "assert 7 <= 3", in 1 of 12 runs.
-    """
+    """Requests served together must not each double the limit."""
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    for most in (1, 2, 4, 8):
-        under_way = []
+    for limit in (1, 2, 4, 8):
+        in_flight = []
         while notices.may_begin(A):
-            under_way.append(notices.begin(A))
-        assert len(under_way) == most
-        for turn in under_way:
-            assert notices.end(turn, was_served=True)
+            in_flight.append(notices.begin(A))
+        assert len(in_flight) == limit
+        for slot in in_flight:
+            assert notices.end(slot, was_served=True)
     assert notices.may_begin(A)
-    assert notices.begin(A) is None, "nothing is counted any more"
+    assert notices.begin(A) is None, "requests are no longer counted"
 
 
 def test_each_served_request_admits_one_more(notices, clock):
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    under_way = [notices.begin(A)]
-    for most in range(2, 16):
-        notices.end(under_way.pop(), was_served=True)
+    in_flight = [notices.begin(A)]
+    for limit in range(2, 16):
+        notices.end(in_flight.pop(), was_served=True)
         while notices.may_begin(A):
-            under_way.append(notices.begin(A))
-        assert len(under_way) == most
+            in_flight.append(notices.begin(A))
+        assert len(in_flight) == limit
 
 
 def test_unserved_request_admits_only_one_replacement(notices, clock):
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
     for _ in range(5):
-        turn = notices.begin(A)
+        slot = notices.begin(A)
         assert not notices.may_begin(A)
-        assert notices.end(turn, was_served=False)
+        assert notices.end(slot, was_served=False)
 
 
 def test_request_begun_before_second_backoff_is_not_counted_after_it(notices, clock):
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    turn = notices.begin(A)
+    slot = notices.begin(A)
     notices.record_backoff(A, 1.0)
     clock.now += 1.0
     assert notices.may_begin(A)
-    assert not notices.end(turn, was_served=True)
+    assert not notices.end(slot, was_served=True)
     assert notices.begin(A) is not None
     assert not notices.may_begin(A)
 
@@ -127,7 +123,7 @@
     notices.record_backoff(A, 1.0)
     assert notices.expire() == []
     clock.now += 1.0
-    assert [one.incarnation for one in notices.expire()] == [A]
+    assert [backoff.incarnation for backoff in notices.expire()] == [A]
     assert notices.expire() == []
 
 
@@ -143,8 +139,8 @@
         True,
         True,
     ]
-    resting = [Incarnation(f"w-{number}") for number in range(2)]
-    assert notices.withheld(resting) == frozenset()
+    evicted = [Incarnation(f"w-{number}") for number in range(2)]
+    assert notices.withheld(evicted) == frozenset()
     assert notices.backing_off_count == 3
 
 
@@ -163,47 +159,51 @@
     return draw(st.lists(step, max_size=60))
 
 
-class Promises:
-    """What was said, by an account of the test's own, beside the notices."""
+class Model:
+    """A reference model of the notices, run beside the implementation."""
 
     def __init__(self):
         self.clock = Clock()
         self.notices = WorkerNotices(self.clock)
         self.leaving = set()
-        self.ends_at = {}
-        self.turns = []
+        self.backoff_until = {}
+        self.slots = []
 
-    def play(self, step) -> None:
+    def apply(self, step) -> None:
         match step:
             case ("wait", seconds):
                 self.clock.now += seconds
-            case ("leave", start):
-                self.notices.record_leaving(start)
-                self.leaving.add(start)
-            case ("rest", start, seconds):
-                self.notices.record_backoff(start, seconds)
-                ends_at = self.clock.now + min(seconds, MAX_BACKOFF_SECONDS)
-                self.ends_at[start] = max(ends_at, self.ends_at.get(start, ends_at))
-            case ("begin", start) if self.notices.may_begin(start):
-                self.turns.append(self.notices.begin(start))
-            case ("end", was_served) if self.turns:
-                self.notices.end(self.turns.pop(0), was_served)
+            case ("leave", incarnation):
+                self.notices.record_leaving(incarnation)
+                self.leaving.add(incarnation)
+            case ("rest", incarnation, seconds):
+                self.notices.record_backoff(incarnation, seconds)
+                until = self.clock.now + min(seconds, MAX_BACKOFF_SECONDS)
+                self.backoff_until[incarnation] = max(
+                    until, self.backoff_until.get(incarnation, until)
+                )
+            case ("begin", incarnation) if self.notices.may_begin(incarnation):
+                self.slots.append(self.notices.begin(incarnation))
+            case ("end", was_served) if self.slots:
+                self.notices.end(self.slots.pop(0), was_served)
             case ("expire",):
                 self.notices.expire()
 
-    def bind(self, start) -> bool:
-        return start in self.leaving or self.clock.now < self.ends_at.get(start, float("-inf"))
+    def is_withheld(self, incarnation) -> bool:
+        return incarnation in self.leaving or self.clock.now < self.backoff_until.get(
+            incarnation, float("-inf")
+        )
 
 
 @given(histories())
 def test_no_request_begins_during_backoff_or_after_leaving_notice(history):
-    promises = Promises()
+    model = Model()
     for step in history:
-        promises.play(step)
-        for start in (A, LATER_A, B):
-            may_begin = promises.notices.may_begin(start)
-            assert not (promises.bind(start) and may_begin)
-            assert may_begin or start in promises.leaving or start in promises.ends_at
+        model.apply(step)
+        for incarnation in (A, LATER_A, B):
+            may_begin = model.notices.may_begin(incarnation)
+            assert not (model.is_withheld(incarnation) and may_begin)
+            assert may_begin or incarnation in model.leaving or incarnation in model.backoff_until
 
 
 def test_initial_concurrency_applies_after_each_backoff(notices, clock):
--- a/tests/unit/test_retry_and_limits.py
+++ b/tests/unit/test_retry_and_limits.py
@@ -1,4 +1,4 @@
-"""Retry budget, backoff, circuits, token buckets, rollout steps and framing."""
+"""Retry budget, backoff, circuit breakers, token buckets, rollout steps and framing."""
 
 import random
 
