--- a/src/wheelslip/routing/tenant_limits.py
+++ b/src/wheelslip/routing/tenant_limits.py
@@ -30,9 +30,8 @@
 """Range of the retry time that a refused caller receives."""
 
 MIN_METER_SHARE = 0.5
-"""A node with a smaller share is not the regular meter; one will be elected within the validity of
-a vote."""
-
+"""Smallest share of a regular meter. With less, callers are told to retry after the validity of a
+vote, when votes have moved to another meter."""
 
 RESERVE_SHARE = 0.5
 """Fraction of the allowed excess of a limit that the reserves of all standby meters hold."""
