--- a/src/wheelslip/routing/worker_allowance.py
+++ b/src/wheelslip/routing/worker_allowance.py
@@ -128,7 +128,7 @@
     def __init__(self, placement: WorkerPlacement, allowance: WorkerAllowance):
         self._placement = placement
         self._allowance = allowance
-        self._turns: dict[str, Turns] = {}
+        self._retry_schedules: dict[str, Turns] = {}
 
     def choose(self, query: PlacementQuery, now: float) -> Placement | None:
         """Return the best worker for a request, ``None`` if none is available.
@@ -169,7 +169,7 @@
         wait = self._allowance.wait_seconds(exhausted)
         if wait is None:
             return
-        turns = self._turns.setdefault(service, Turns())
-        seconds = turns.retry_seconds(now, wait, 1.0 / self._allowance.rate(exhausted))
+        schedule = self._retry_schedules.setdefault(service, Turns())
+        seconds = schedule.retry_seconds(now, wait, 1.0 / self._allowance.rate(exhausted))
         self._allowance.refused += 1
         raise Overloaded(max(MIN_RETRY_SECONDS, seconds))
--- a/tests/unit/forwarding/test_budget_and_split.py
+++ b/tests/unit/forwarding/test_budget_and_split.py
@@ -40,17 +40,17 @@
 
 
 def test_cached_tokens_require_complete_prefix():
-    holdings = WorkerHoldings(capacity_tokens=1000)
+    cached_parts = WorkerHoldings(capacity_tokens=1000)
     chain = chain_of("salt", (("a", 100), ("b", 200), ("c", 50)))
-    holdings.record(chain)
-    assert holdings.cached_tokens(chain) == 350
-    assert holdings.cached_tokens(chain_of("other", (("a", 100),))) == 0
-    assert holdings.cached_tokens(chain_of("salt", (("b", 200),))) == 0
+    cached_parts.record(chain)
+    assert cached_parts.cached_tokens(chain) == 350
+    assert cached_parts.cached_tokens(chain_of("other", (("a", 100),))) == 0
+    assert cached_parts.cached_tokens(chain_of("salt", (("b", 200),))) == 0
 
 
 def test_least_recently_used_parts_are_evicted_last_part_first():
-    holdings = WorkerHoldings(capacity_tokens=300)
+    cached_parts = WorkerHoldings(capacity_tokens=300)
     first = chain_of("salt", (("a", 100), ("b", 100)))
-    holdings.record(first)
-    holdings.record(chain_of("salt", (("c", 200),)))
-    assert holdings.cached_tokens(first) == 100
+    cached_parts.record(first)
+    cached_parts.record(chain_of("salt", (("c", 200),)))
+    assert cached_parts.cached_tokens(first) == 100
