--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -17,7 +17,7 @@
 from wheelslip.forwarding.interface import KeyValueStore
 from wheelslip.forwarding.job import Job
 from wheelslip.forwarding.registry import Registry
-from wheelslip.routing.crash_ledger import CrashLedger, Standing
+from wheelslip.routing.crash_ledger import CrashLedger, FingerprintStatus
 
 
 class CrashGuard:
@@ -49,7 +49,7 @@
 
     def refused_fingerprints(self) -> int:
         """Return the number of fingerprints that are refused now."""
-        return self._ledger.refused()
+        return self._ledger.refused_count()
 
     async def admit(self, job: Job, service: str) -> TrialLock | None:
         """Check a request before it is sent to a worker.
@@ -61,10 +61,10 @@
         if not self._ledger:
             # No crash is recorded at all; skip the computation of the fingerprint.
             return None
-        match self._ledger.standing(job.fingerprint):
-            case Standing.FREE:
+        match self._ledger.status(job.fingerprint):
+            case FingerprintStatus.FREE:
                 return None
-            case Standing.REFUSED:
+            case FingerprintStatus.REFUSED:
                 seconds = max(1.0, round(self._ledger.refused_seconds(job.fingerprint)))
                 kind = ErrorKind.REQUEST_CRASHES_ENGINES
                 raise WheelslipError(kind, "engines crashed while running this request", seconds)
@@ -108,5 +108,5 @@
             await self._evidence.settled(job.last_incarnation)
         await self.reports.written()
         # Keep the lock until reports of other nodes about the same crash have been received.
-        await asyncio.sleep(self._ledger.news_seconds(job.fingerprint))
+        await asyncio.sleep(self._ledger.pending_report_seconds(job.fingerprint))
         await self._trial_locks.release(trial_lock)
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -26,7 +26,7 @@
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.forwarding.store_health import StoreHealth
 from wheelslip.forwarding.worker_view import WorkerView
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.named_limits import WorkerRateLimits
 
 RecordT = TypeVar("RecordT", bound=msgspec.Struct)
 
@@ -323,13 +323,13 @@
         return self.accepts_requests(incarnation) and self.notices.may_begin(incarnation)
 
     @property
-    def limits(self) -> NamedLimits:
+    def limits(self) -> WorkerRateLimits:
         """The rate limits that workers have announced."""
         return self.notices.limits
 
     def has_limited_worker(self, service: str) -> bool:
         """Return whether any worker of a service has a rate limit."""
-        limited = self.limits.limited_starts()
+        limited = self.limits.limited_incarnations()
         return any(
             incarnation in self.workers and self.workers[incarnation].info.service == service
             for incarnation in limited
@@ -345,7 +345,7 @@
         """Return when the first backoff among the workers in use ends; ``None`` without any."""
         in_use = [worker.info.id for worker in self.workers_of(service)]
         backing_off = self.notices.withheld(in_use)
-        return min(map(self.notices.rest_until, backing_off), default=None)
+        return min(map(self.notices.backoff_until, backing_off), default=None)
 
     def mark_replaced(self, incarnation: Incarnation) -> None:
         """Record that another process answered at a worker's address."""
--- a/tests/unit/forwarding/test_worker_allowance.py
+++ b/tests/unit/forwarding/test_worker_allowance.py
@@ -1,4 +1,4 @@
-"""The limit that a worker names binds all nodes together, under any history of faults."""
+"""Worker rate limits apply to all nodes together, under random fault histories."""
 
 import random
 from types import SimpleNamespace
@@ -7,27 +7,27 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.unit.forwarding.test_tenant_limits import EVENT, NODES, World, strike
+from tests.unit.forwarding.test_tenant_limits import EVENT, NODES, World, apply_fault
 from wheelslip.deployment import Incarnation
 from wheelslip.peers.dispatcher_health import NoDispatcher
 from wheelslip.peers.limit_votes import TICK_SECONDS
-from wheelslip.routing.limit_authority import VOTE_SECONDS, WholeAuthority
-from wheelslip.routing.named_limits import NamedLimits
+from wheelslip.routing.limit_authority import VOTE_VALIDITY_SECONDS, SingleNodeAuthority
+from wheelslip.routing.named_limits import WorkerRateLimits
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement, PlacementQuery
-from wheelslip.routing.worker_allowance import PROBE_RATE, LimitedChoice, WorkerAllowance
+from wheelslip.routing.worker_allowance import PROBE_RATE, RateLimitedChoice, WorkerAllowance
 
 LIMITED, OTHER = Incarnation("a/1"), Incarnation("b/1")
 WINDOW_SECONDS = 4.0
-SHARE, EXTRA = 1.5, 5
+MAX_RATIO, MAX_EXTRA = 1.5, 5
 
 
-def allowed(rate: float) -> float:
-    return SHARE * rate * WINDOW_SECONDS + EXTRA
+def max_allowed(rate: float) -> float:
+    return MAX_RATIO * rate * WINDOW_SECONDS + MAX_EXTRA
 
 
 class Fleet:
-    """Nodes before one limited worker; each counts by its own authority."""
+    """Nodes that share one limited worker; each charges it by its own authority."""
 
     def __init__(self, rate: float):
         self.world = World()
@@ -36,21 +36,24 @@
         self.sent_at: list[float] = []
 
     def allowance(self, number: int) -> WorkerAllowance:
-        """Return that of the present start of a node."""
+        """Return the allowance of the current incarnation of a node."""
         node = self.world.nodes[number]
-        known = self._allowances.get(number)
-        if known is None or known[0] is not node:
-            limits = NamedLimits(self.world.clock)
-            limits.note_limit(LIMITED, self.rate)
-            known = self._allowances[number] = (node, WorkerAllowance(limits, node.authority))
-        return known[1]
-
-    def ask(self, number: int) -> bool:
-        """Have a node ask its dispatcher for the worker, or choose by itself; return whether it got it."""
+        current = self._allowances.get(number)
+        if current is None or current[0] is not node:
+            limits = WorkerRateLimits(self.world.clock)
+            limits.record_limit(LIMITED, self.rate)
+            current = self._allowances[number] = (node, WorkerAllowance(limits, node.authority))
+        return current[1]
+
+    def request(self, number: int) -> bool:
+        """Request the worker from a node's dispatcher, or locally if there is none.
+
+        :return: whether the request was granted.
+        """
         world = self.world
         if number in world.dead | world.frozen:
             return False
-        granted = self._take(self._dispatcher(number))
+        granted = self._charge(self._dispatcher(number))
         if granted:
             self.sent_at.append(world.clock.now)
         return granted
@@ -68,31 +71,34 @@
         node.health.missed(address)
         return number
 
-    def _take(self, number: int) -> bool:
+    def _charge(self, number: int) -> bool:
         allowance = self.allowance(number)
-        return not allowance.exhausted([LIMITED]) and allowance.take(LIMITED)
+        return not allowance.exhausted([LIMITED]) and allowance.charge(LIMITED)
 
     def run(self, ticks: int, source: random.Random) -> None:
         for _ in range(ticks):
             self.world.advance(1)
             for _ in range(40):
-                self.ask(source.randrange(NODES))
+                self.request(source.randrange(NODES))
 
-    def most_in_a_window(self) -> int:
+    def max_in_window(self) -> int:
         return max(
-            (sum(end - WINDOW_SECONDS < at <= end for at in self.sent_at) for end in self.sent_at),
+            (
+                sum(end - WINDOW_SECONDS < sent_at <= end for sent_at in self.sent_at)
+                for end in self.sent_at
+            ),
             default=0,
         )
 
 
 @pytest.mark.parametrize("rate", [0.5, 1.0, 2.6, 20.0])
-def test_the_whole_limit_is_used_and_no_more(rate):
+def test_fleet_uses_full_limit_without_exceeding_it(rate):
     fleet = Fleet(rate)
     fleet.run(20, random.Random(1))
     fleet.sent_at.clear()
     fleet.run(160, random.Random(2))
     assert 0.9 * rate <= len(fleet.sent_at) / (160 * TICK_SECONDS) <= 1.05 * rate
-    assert fleet.most_in_a_window() <= allowed(rate)
+    assert fleet.max_in_window() <= max_allowed(rate)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
@@ -101,17 +107,17 @@
     seed=st.integers(0, 2**16),
     rate=st.sampled_from([0.0, 0.5, 1.0, 5.0, 40.0]),
 )
-def test_no_history_of_faults_gives_a_worker_more_than_the_bound(history, seed, rate):
+def test_worker_rate_stays_within_bound_under_any_fault_history(history, seed, rate):
     source = random.Random(seed)
     fleet = Fleet(rate)
     fleet.run(20, source)
     for (kind, number), ticks in history:
-        strike(fleet.world, kind, number)
+        apply_fault(fleet.world, kind, number)
         fleet.run(ticks, source)
-    assert fleet.most_in_a_window() <= allowed(rate)
+    assert fleet.max_in_window() <= max_allowed(rate)
 
 
-def test_a_worker_is_used_again_soon_after_the_death_of_the_node_that_counted():
+def test_worker_receives_requests_soon_after_meter_failure():
     fleet = Fleet(4.0)
     fleet.run(20, random.Random(1))
     fleet.world.kill(0)
@@ -119,116 +125,122 @@
     fleet.sent_at.clear()
     while not fleet.sent_at:
         fleet.run(1, random.Random(2))
-    assert fleet.world.clock.now - killed_at <= VOTE_SECONDS + 4 * TICK_SECONDS + 1 / 4.0
-
-
-# One node
+    assert fleet.world.clock.now - killed_at <= VOTE_VALIDITY_SECONDS + 4 * TICK_SECONDS + 1 / 4.0
 
 
 @pytest.fixture
 def limits(clock):
-    return NamedLimits(clock)
+    return WorkerRateLimits(clock)
 
 
 @pytest.fixture
 def allowance(clock, limits):
-    return WorkerAllowance(limits, WholeAuthority(clock))
+    return WorkerAllowance(limits, SingleNodeAuthority(clock))
 
 
 def fill(clock, allowance) -> None:
-    """Let the buckets of all limited workers fill."""
+    """Let the buckets of all limited workers fill up."""
     allowance.exhausted([LIMITED, OTHER])
     clock.now += 100.0
 
 
-def drained(allowance) -> int:
-    """Take all that there is; return how much it was."""
+def drain(allowance) -> int:
+    """Charge requests until the worker is exhausted; return their number."""
     count = 0
     while not allowance.exhausted([LIMITED]):
-        allowance.take(LIMITED)
+        allowance.charge(LIMITED)
         count += 1
     return count
 
 
-def test_a_new_limit_begins_with_nothing(allowance, limits):
-    limits.note_limit(LIMITED, 100.0)
+def test_new_limit_starts_with_empty_bucket(allowance, limits):
+    limits.record_limit(LIMITED, 100.0)
     assert allowance.exhausted([LIMITED, OTHER]) == {LIMITED}
 
 
-def test_a_lowered_limit_counts_at_once(allowance, limits, clock):
-    limits.note_limit(LIMITED, 100.0)
+def test_lowered_limit_applies_at_once(allowance, limits, clock):
+    limits.record_limit(LIMITED, 100.0)
     fill(clock, allowance)
-    limits.note_limit(LIMITED, 1.0)
-    assert drained(allowance) == 1
+    limits.record_limit(LIMITED, 1.0)
+    assert drain(allowance) == 1
 
 
-def test_a_limit_of_nothing_lets_a_trickle_through(allowance, limits, clock):
-    limits.note_limit(LIMITED, 0.0)
+def test_zero_limit_allows_probe_rate(allowance, limits, clock):
+    limits.record_limit(LIMITED, 0.0)
     fill(clock, allowance)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
     clock.now += 1.01 / PROBE_RATE
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
 
 
-def test_what_was_never_sent_is_given_back(allowance, limits, clock):
-    limits.note_limit(LIMITED, 1.0)
+def test_refund_of_unsent_request_allows_another(allowance, limits, clock):
+    limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
-    assert drained(allowance) == 1
-    allowance.give_back(LIMITED)
-    assert drained(allowance) == 1
+    assert drain(allowance) == 1
+    allowance.refund(LIMITED)
+    assert drain(allowance) == 1
 
 
-def test_a_worker_without_a_limit_is_not_counted(allowance, limits, clock):
-    limits.note_limit(LIMITED, 1.0)
-    assert not allowance.take(OTHER)
+def test_worker_without_limit_is_not_charged(allowance, limits, clock):
+    limits.record_limit(LIMITED, 1.0)
+    assert not allowance.charge(OTHER)
     for _ in range(2):
         clock.now += 1.0
-        limits.note_no_limit(LIMITED, clock.now)
-    assert not allowance.exhausted([LIMITED, OTHER]) and not allowance.take(LIMITED)
+        limits.record_no_limit(LIMITED, clock.now)
+    assert not allowance.exhausted([LIMITED, OTHER]) and not allowance.charge(LIMITED)
 
 
 class _Placement:
     """Chooses the first worker that is not excluded."""
 
-    def __init__(self, *starts: Incarnation):
-        self._workers = {one: SimpleNamespace(info=SimpleNamespace(id=one)) for one in starts}
+    def __init__(self, *incarnations: Incarnation):
+        self._workers = {
+            incarnation: SimpleNamespace(info=SimpleNamespace(id=incarnation))
+            for incarnation in incarnations
+        }
 
-    def serves(self, start, service) -> bool:
-        return start in self._workers
+    def serves(self, incarnation, service) -> bool:
+        return incarnation in self._workers
 
     def choose(self, query) -> Placement | None:
-        left = [one for start, one in self._workers.items() if start not in query.excluded]
-        return Placement(left[0]) if left else None
+        available = [
+            worker
+            for incarnation, worker in self._workers.items()
+            if incarnation not in query.excluded
+        ]
+        return Placement(available[0]) if available else None
 
 
 QUERY = PlacementQuery("s")
 
 
-def test_requests_go_to_other_workers_when_a_limit_is_used_up(allowance, limits, clock):
-    choice = LimitedChoice(_Placement(LIMITED, OTHER), allowance)
-    limits.note_limit(LIMITED, 1.0)
+def test_other_workers_are_chosen_when_limit_is_exhausted(allowance, limits, clock):
+    choice = RateLimitedChoice(_Placement(LIMITED, OTHER), allowance)
+    limits.record_limit(LIMITED, 1.0)
     fill(clock, allowance)
     chosen = [choice.choose(QUERY, clock.now) for _ in range(3)]
-    assert [one.worker.info.id for one in chosen] == [LIMITED, OTHER, OTHER]
-    assert [one.rate_limit_charged for one in chosen] == [True, False, False]
+    assert [placement.worker.info.id for placement in chosen] == [LIMITED, OTHER, OTHER]
+    assert [placement.rate_limit_charged for placement in chosen] == [True, False, False]
 
 
-def test_callers_that_find_all_workers_at_their_limits_are_told_turns(allowance, limits, clock):
-    choice = LimitedChoice(_Placement(LIMITED), allowance)
-    limits.note_limit(LIMITED, 2.0)
+def test_callers_receive_staggered_retry_times_when_all_workers_are_exhausted(
+    allowance, limits, clock
+):
+    choice = RateLimitedChoice(_Placement(LIMITED), allowance)
+    limits.record_limit(LIMITED, 2.0)
     fill(clock, allowance)
     assert choice.choose(QUERY, clock.now).rate_limit_charged
-    told = []
+    retry_seconds = []
     for _ in range(4):
         with pytest.raises(Overloaded) as caught:
             choice.choose(QUERY, clock.now)
-        told.append(caught.value.retry_seconds)
-    assert told == pytest.approx([0.25, 0.75, 1.25, 1.75])
+        retry_seconds.append(caught.value.retry_seconds)
+    assert retry_seconds == pytest.approx([0.25, 0.75, 1.25, 1.75])
 
 
-def test_a_node_without_authority_uses_no_limited_worker(limits, clock):
-    nobody = SimpleNamespace(share=lambda: 0.0, seconds=lambda: 0.0)
-    choice = LimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, nobody))
-    limits.note_limit(LIMITED, 1000.0)
+def test_node_without_authority_uses_no_limited_worker(limits, clock):
+    authority = SimpleNamespace(share=lambda: 0.0, weighted_seconds=lambda: 0.0)
+    choice = RateLimitedChoice(_Placement(LIMITED), WorkerAllowance(limits, authority))
+    limits.record_limit(LIMITED, 1000.0)
     clock.now += 100.0
     assert choice.choose(QUERY, clock.now) is None
--- a/tests/unit/forwarding/test_worker_notices.py
+++ b/tests/unit/forwarding/test_worker_notices.py
@@ -1,4 +1,4 @@
-"""What workers said of themselves holds for the start that said it, as long as it said."""
+"""Leaving notices and backoffs of workers, and the concurrency after a backoff."""
 
 import pytest
 from hypothesis import given
@@ -8,13 +8,13 @@
 from wheelslip.deployment import Incarnation
 from wheelslip.routing import worker_notices
 from wheelslip.routing.worker_notices import (
-    FIRST_AFTER_REST,
-    MAX_REST_SECONDS,
-    RECOVERED_SECONDS,
+    INITIAL_CONCURRENCY,
+    MAX_BACKOFF_SECONDS,
+    RECOVERY_SECONDS,
     WorkerNotices,
 )
 
-A, LATER_A, B = (Incarnation(one) for one in ("a/1", "a/2", "b/1"))
+A, LATER_A, B = (Incarnation(name) for name in ("a/1", "a/2", "b/1"))
 
 
 @pytest.fixture
@@ -22,120 +22,116 @@
     return WorkerNotices(clock)
 
 
-def test_leaving_is_of_one_start_and_final(notices, clock):
-    assert notices.note_leaving(A)
-    assert not notices.note_leaving(A)
+def test_leaving_applies_to_one_incarnation_and_is_final(notices, clock):
+    assert notices.record_leaving(A)
+    assert not notices.record_leaving(A)
     clock.now += 1e6
     notices.expire()
     assert not notices.may_begin(A)
     assert notices.may_begin(LATER_A)
 
 
-def test_the_latest_end_of_several_rests_counts(notices, clock):
-    notices.note_rest(A, 3.0)
+def test_latest_end_of_several_backoffs_applies(notices, clock):
+    notices.record_backoff(A, 3.0)
     clock.now += 1.0
-    assert not notices.note_rest(A, 0.5), "an earlier end takes nothing back"
+    assert not notices.record_backoff(A, 0.5), "an earlier end does not shorten the backoff"
     clock.now += 1.0
     assert not notices.may_begin(A)
-    assert notices.note_rest(A, 5.0)
+    assert notices.record_backoff(A, 5.0)
     clock.now += 4.9
     assert not notices.may_begin(A)
     clock.now += 0.2
     assert notices.may_begin(A)
 
 
-def test_requests_turned_away_together_are_one_piece_of_news(notices, clock):
-    assert notices.note_rest(A, 3.0)
+def test_nearly_simultaneous_backoffs_are_reported_once(notices, clock):
+    assert notices.record_backoff(A, 3.0)
     clock.now += 0.004
-    assert not notices.note_rest(A, 3.0)
-    assert notices.rest_until(A) == clock.now + 3.0
+    assert not notices.record_backoff(A, 3.0)
+    assert notices.backoff_until(A) == clock.now + 3.0
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0, float("nan")])
-def test_no_time_is_no_rest(notices, seconds):
-    notices.note_rest(A, seconds)
+def test_backoff_without_positive_duration_is_ignored(notices, seconds):
+    notices.record_backoff(A, seconds)
     assert notices.may_begin(A)
 
 
-def test_for_ever_is_the_longest_rest(notices, clock):
-    notices.note_rest(A, float("inf"))
-    clock.now += MAX_REST_SECONDS + 0.1
+def test_infinite_backoff_is_capped(notices, clock):
+    notices.record_backoff(A, float("inf"))
+    clock.now += MAX_BACKOFF_SECONDS + 0.1
     assert notices.may_begin(A)
 
 
-def test_the_first_requests_after_a_rest_are_few_then_twice_as_many_each_round(notices, clock):
-    """7 of 20 requests that had waited at a worker with room for two were turned away after its rest.
-
-    The number was doubled with each request served, so two that were served together made 4 and 8 of
-    it before any of those four had an answer: "assert 7 <= 3", in 1 of 12 runs.
-    """
-    notices.note_rest(A, 1.0)
+def test_concurrency_after_backoff_doubles_each_round(notices, clock):
+    """Requests served together must not each double the limit."""
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    for most in (1, 2, 4, 8):
-        under_way = []
+    for limit in (1, 2, 4, 8):
+        in_flight = []
         while notices.may_begin(A):
-            under_way.append(notices.begin(A))
-        assert len(under_way) == most
-        for turn in under_way:
-            assert notices.end(turn, was_served=True)
+            in_flight.append(notices.begin(A))
+        assert len(in_flight) == limit
+        for slot in in_flight:
+            assert notices.end(slot, was_served=True)
     assert notices.may_begin(A)
-    assert notices.begin(A) is None, "nothing is counted any more"
+    assert notices.begin(A) is None, "requests are no longer counted"
 
 
-def test_each_that_is_served_lets_one_more_begin(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_each_served_request_admits_one_more(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    under_way = [notices.begin(A)]
-    for most in range(2, 16):
-        notices.end(under_way.pop(), was_served=True)
+    in_flight = [notices.begin(A)]
+    for limit in range(2, 16):
+        notices.end(in_flight.pop(), was_served=True)
         while notices.may_begin(A):
-            under_way.append(notices.begin(A))
-        assert len(under_way) == most
+            in_flight.append(notices.begin(A))
+        assert len(in_flight) == limit
 
 
-def test_who_is_not_served_lets_one_more_try_and_no_two(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_unserved_request_admits_only_one_replacement(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     for _ in range(5):
-        turn = notices.begin(A)
+        slot = notices.begin(A)
         assert not notices.may_begin(A)
-        assert notices.end(turn, was_served=False)
+        assert notices.end(slot, was_served=False)
 
 
-def test_what_began_before_a_second_rest_does_not_count_after_it(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_request_begun_before_second_backoff_is_not_counted_after_it(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
-    turn = notices.begin(A)
-    notices.note_rest(A, 1.0)
+    slot = notices.begin(A)
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     assert notices.may_begin(A)
-    assert not notices.end(turn, was_served=True)
+    assert not notices.end(slot, was_served=True)
     assert notices.begin(A) is not None
     assert not notices.may_begin(A)
 
 
-def test_a_request_that_never_ends_does_not_keep_a_worker_out_of_use(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_hanging_request_does_not_block_worker_after_recovery(notices, clock):
+    notices.record_backoff(A, 1.0)
     clock.now += 1.0
     notices.begin(A)
-    clock.now += RECOVERED_SECONDS
+    clock.now += RECOVERY_SECONDS
     assert notices.may_begin(A)
     assert notices.withheld([A]) == frozenset()
 
 
-def test_an_ended_rest_is_told_once(notices, clock):
-    notices.note_rest(A, 1.0)
+def test_ended_backoff_is_returned_once(notices, clock):
+    notices.record_backoff(A, 1.0)
     assert notices.expire() == []
     clock.now += 1.0
-    assert [one.start for one in notices.expire()] == [A]
+    assert [backoff.incarnation for backoff in notices.expire()] == [A]
     assert notices.expire() == []
 
 
-def test_what_is_kept_is_bounded_and_the_newest_stays(notices, monkeypatch):
-    monkeypatch.setattr(worker_notices, "MAX_STARTS", 3)
+def test_stored_notices_are_bounded_and_newest_are_kept(notices, monkeypatch):
+    monkeypatch.setattr(worker_notices, "MAX_INCARNATIONS", 3)
     for number in range(5):
-        notices.note_leaving(Incarnation(f"w-{number}"))
-        notices.note_rest(Incarnation(f"w-{number}"), 1.0 + number)
+        notices.record_leaving(Incarnation(f"w-{number}"))
+        notices.record_backoff(Incarnation(f"w-{number}"), 1.0 + number)
     assert [notices.is_leaving(Incarnation(f"w-{number}")) for number in range(5)] == [
         False,
         False,
@@ -143,9 +139,9 @@
         True,
         True,
     ]
-    resting = [Incarnation(f"w-{number}") for number in range(2)]
-    assert notices.withheld(resting) == frozenset()
-    assert notices.resting == 3
+    evicted = [Incarnation(f"w-{number}") for number in range(2)]
+    assert notices.withheld(evicted) == frozenset()
+    assert notices.backing_off_count == 3
 
 
 @st.composite
@@ -163,55 +159,59 @@
     return draw(st.lists(step, max_size=60))
 
 
-class Promises:
-    """What was said, by an account of the test's own, beside the notices."""
+class Model:
+    """A reference model of the notices, run beside the implementation."""
 
     def __init__(self):
         self.clock = Clock()
         self.notices = WorkerNotices(self.clock)
         self.leaving = set()
-        self.ends_at = {}
-        self.turns = []
+        self.backoff_until = {}
+        self.slots = []
 
-    def play(self, step) -> None:
+    def apply(self, step) -> None:
         match step:
             case ("wait", seconds):
                 self.clock.now += seconds
-            case ("leave", start):
-                self.notices.note_leaving(start)
-                self.leaving.add(start)
-            case ("rest", start, seconds):
-                self.notices.note_rest(start, seconds)
-                ends_at = self.clock.now + min(seconds, MAX_REST_SECONDS)
-                self.ends_at[start] = max(ends_at, self.ends_at.get(start, ends_at))
-            case ("begin", start) if self.notices.may_begin(start):
-                self.turns.append(self.notices.begin(start))
-            case ("end", was_served) if self.turns:
-                self.notices.end(self.turns.pop(0), was_served)
+            case ("leave", incarnation):
+                self.notices.record_leaving(incarnation)
+                self.leaving.add(incarnation)
+            case ("rest", incarnation, seconds):
+                self.notices.record_backoff(incarnation, seconds)
+                until = self.clock.now + min(seconds, MAX_BACKOFF_SECONDS)
+                self.backoff_until[incarnation] = max(
+                    until, self.backoff_until.get(incarnation, until)
+                )
+            case ("begin", incarnation) if self.notices.may_begin(incarnation):
+                self.slots.append(self.notices.begin(incarnation))
+            case ("end", was_served) if self.slots:
+                self.notices.end(self.slots.pop(0), was_served)
             case ("expire",):
                 self.notices.expire()
 
-    def bind(self, start) -> bool:
-        return start in self.leaving or self.clock.now < self.ends_at.get(start, float("-inf"))
+    def is_withheld(self, incarnation) -> bool:
+        return incarnation in self.leaving or self.clock.now < self.backoff_until.get(
+            incarnation, float("-inf")
+        )
 
 
 @given(histories())
-def test_no_request_begins_in_a_rest_or_after_the_word_of_leaving(history):
-    promises = Promises()
+def test_no_request_begins_during_backoff_or_after_leaving_notice(history):
+    model = Model()
     for step in history:
-        promises.play(step)
-        for start in (A, LATER_A, B):
-            may_begin = promises.notices.may_begin(start)
-            assert not (promises.bind(start) and may_begin)
-            assert may_begin or start in promises.leaving or start in promises.ends_at
+        model.apply(step)
+        for incarnation in (A, LATER_A, B):
+            may_begin = model.notices.may_begin(incarnation)
+            assert not (model.is_withheld(incarnation) and may_begin)
+            assert may_begin or incarnation in model.leaving or incarnation in model.backoff_until
 
 
-def test_after_each_rest_only_the_first_may_begin(notices, clock):
+def test_initial_concurrency_applies_after_each_backoff(notices, clock):
     for _ in range(3):
-        notices.note_rest(A, 1.0)
+        notices.record_backoff(A, 1.0)
         clock.now += 1.0
         begun = 0
         while notices.may_begin(A):
             notices.begin(A)
             begun += 1
-        assert begun == FIRST_AFTER_REST
+        assert begun == INITIAL_CONCURRENCY
