--- a/src/wheelslip/forwarding/feed.py
+++ b/src/wheelslip/forwarding/feed.py
@@ -1,10 +1,10 @@
-"""The view of the store, passed from node to node.
+"""Change feed between nodes: followers poll other nodes for changes of the store.
 
-A follower polls a node that reads the store itself, and gets what has changed since the
-revision it knows. How current that is, it learns without clocks that agree: the answer tells
-how long after the poll's arrival, or before it, the sender's view was last confirmed. The
-poll arrived after it was sent, so its sending time plus that span never claims too much,
-however late the answer comes.
+A follower sends the revision of its view and receives the changes since that revision. The
+response also contains the time at which the sender's view was last confirmed, relative to the
+arrival of the poll, so clocks need not be synchronized. A poll arrives after it was sent, so its
+sending time plus that offset is never later than the time of the confirmation, regardless of how
+long the response takes.
 """
 
 import asyncio
@@ -22,30 +22,29 @@
 WAIT_SECONDS_PER_FOLLOWER = 0.008
 MIN_WAIT_SECONDS = 0.1
 MAX_WAIT_SECONDS = 0.5
-"""A poll is answered after a time although nothing of the store has changed, since loads
-have. It grows with the number of followers, so that their polls take a bounded part of the
-relay's processor."""
+"""Longest time until a poll is answered if the store does not change, since responses also report
+loads. The time increases with the number of followers to limit the relay's CPU usage."""
 
-ANSWER_SECONDS = MAX_WAIT_SECONDS + 0.5
-"""Longest wait for an answer to a poll."""
+RESPONSE_TIMEOUT_SECONDS = MAX_WAIT_SECONDS + 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 
-CONNECT_SECONDS = 0.5
+FOLLOWER_TTL_SECONDS = 30.0
+"""Time after its last poll for which a follower is listed as a peer."""
 
-HEARD_SECONDS = 30.0
-"""A node that polled is remembered this long, as one that may know more some time."""
 BACKLOG = 512
 
 
-class FeedLost(Exception):
-    """A node could not be polled, or it knows nothing itself."""
+class FeedUnavailable(Exception):
+    """Raised when a node could not be polled, or its own view was never confirmed."""
 
 
 class FeedPoll(NamedTuple):
-    """Asks for all changes after a revision; ``None`` asks for everything.
+    """Request for all changes after a revision.
 
-    :ivar address: where the asking node answers polls itself; empty for relays.
-    :ivar loads: what that node has at its workers.
-    :ivar saved: keys of prompts that it knows saved of late.
+    :ivar after: revision of the follower's view; ``None`` to request all entries.
+    :ivar address: where the follower answers polls itself; empty if it does not report loads.
+    :ivar loads: the loads of the follower's requests at the workers.
+    :ivar saved: keys of recently saved prompts.
     """
 
     after: int | None
@@ -55,41 +54,42 @@
 
 
 class FeedBatch(NamedTuple):
-    """What has changed in the sender's view.
-
-    :ivar at: the view is complete up to this revision of the store.
-    :ivar whole: ``changes`` is all there is; what is not in it has gone.
-    :ivar confirmed: seconds from the poll's arrival to the moment at which the view was
-        known to be current; negative when that was before.
-    :ivar failing_age: seconds since a call of the sender to the store failed; ``None`` when
-        its last one was answered. It is the sender's own trouble, unless others fail too.
-    :ivar loads: what all other nodes have at their workers, as far as the sender knows.
-    :ivar saved: keys of prompts that the sender knows saved of late.
+    """Changes of the sender's view.
+
+    :ivar revision: revision of the store up to which the sender's view is complete.
+    :ivar is_snapshot: ``changes`` contains all entries; entries missing from it were removed.
+    :ivar confirmed_offset: seconds from the arrival of the poll to the time at which the view was
+        last confirmed, negative if it was confirmed before the poll arrived; ``None`` if it was
+        never confirmed.
+    :ivar failing_age: seconds since a call of the sender to the store failed; ``None`` if none
+        failed since the last response. Does not mean that calls of other nodes fail.
+    :ivar loads: the loads at the workers by the requests of all nodes except the follower.
+    :ivar saved: keys of recently saved prompts.
     """
 
-    at: int
-    whole: bool
+    revision: int
+    is_snapshot: bool
     changes: list[EntryChange]
-    confirmed: float | None
+    confirmed_offset: float | None
     failing_age: float | None
     loads: list[LoadAtWorker] = []
     saved: list[int] = []
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Splits what a connection brings into frames."""
+    """Splits the bytes of a connection into frames."""
 
     def __init__(self):
         self._buffer = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the transport and set the socket's liveness options."""
+        """Store the transport and set the socket's liveness options."""
         self.transport = transport
         set_liveness_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; hand on each whole frame."""
+        """Buffer received bytes and process each complete frame."""
         self._buffer += data
         try:
             while True:
@@ -101,41 +101,44 @@
             self.close()
 
     def frame_received(self, payload: bytes) -> None:
-        """Take the payload of one frame."""
+        """Process the payload of one frame."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class _FeedConnection(_FrameProtocol):
-    """One follower's connection; it has one poll under way at a time."""
+    """Server side of a follower's connection, with at most one poll in flight."""
 
     def __init__(self, server: "FeedServer"):
         super().__init__()
         self._server = server
-        self._answering: asyncio.Task | None = None
+        self._response_task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Count the connection."""
+        """Register the connection."""
         super().connection_made(transport)
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the follower."""
+        """Unregister the connection and cancel the response in progress."""
         self._server.connections.discard(self)
-        if self._answering is not None:
-            self._answering.cancel()
+        if self._response_task is not None:
+            self._response_task.cancel()
 
     def frame_received(self, payload: bytes) -> None:
-        """Begin to answer a poll."""
+        """Start to answer a poll.
+
+        :raises FrameError: when the previous poll is still in flight.
+        """
         poll = decode_payload(payload, FeedPoll)
-        if self._answering is not None and not self._answering.done():
-            raise FrameError("a poll before the last one was answered")
+        if self._response_task is not None and not self._response_task.done():
+            raise FrameError("poll received before the previous one was answered")
         loop = asyncio.get_running_loop()
-        self._answering = loop.create_task(self._answer(poll))
+        self._response_task = loop.create_task(self._answer(poll))
 
     async def _answer(self, poll: FeedPoll) -> None:
         batch = await self._server.answer(poll)
@@ -145,7 +148,7 @@
 class FeedServer:
     """Answers other nodes' polls from this node's view.
 
-    :param own_loads: returns what this node has at its workers now.
+    :param own_loads: returns the loads of this node's requests at the workers.
     """
 
     def __init__(
@@ -160,35 +163,39 @@
         self._own_loads = own_loads
         self._clock = clock
         self._server: asyncio.Server | None = None
-        self._heard_until: dict[str, float] = {}
+        self._follower_expiry: dict[str, float] = {}
         self.connections: set[_FeedConnection] = set()
 
-    def heard(self) -> list[str]:
-        """Return the addresses of the nodes that polled of late."""
+    def recent_followers(self) -> list[str]:
+        """Return the addresses of the nodes that polled recently."""
         now = self._clock()
-        self._heard_until = {key: until for key, until in self._heard_until.items() if now < until}
-        return list(self._heard_until)
+        self._follower_expiry = {
+            address: expires_at
+            for address, expires_at in self._follower_expiry.items()
+            if now < expires_at
+        }
+        return list(self._follower_expiry)
 
     async def listen(self, host: str, port: int) -> None:
-        """Begin to accept followers."""
+        """Start to accept connections of followers."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _FeedConnection(self), host, port, backlog=BACKLOG
         )
 
     async def answer(self, poll: FeedPoll) -> FeedBatch:
-        """Wait for a change after the poll's revision, and return what is new."""
+        """Wait for a change after the poll's revision and return it; may be empty on timeout."""
         arrived_at = self._clock()
         if poll.address:
             self._table.record_loads(poll.address, poll.loads, arrived_at)
             self._table.saved.merge(poll.saved, arrived_at)
-            self._heard_until[poll.address] = arrived_at + HEARD_SECONDS
+            self._follower_expiry[poll.address] = arrived_at + FOLLOWER_TTL_SECONDS
         deadline = arrived_at + self._wait_seconds()
         while True:
-            changes, whole = self._changes(poll)
+            changes, is_snapshot = self._changes(poll)
             remaining = deadline - self._clock()
-            if changes or whole or remaining <= 0:
-                return self._batch(poll, changes, whole, arrived_at)
+            if changes or is_snapshot or remaining <= 0:
+                return self._batch(poll, changes, is_snapshot, arrived_at)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(remaining):
                     await self._registry.changed()
@@ -207,13 +214,13 @@
             return log.listing(), True
 
     def _batch(
-        self, poll: FeedPoll, changes: list[EntryChange], whole: bool, arrived_at: float
+        self, poll: FeedPoll, changes: list[EntryChange], is_snapshot: bool, arrived_at: float
     ) -> FeedBatch:
         now = self._clock()
         confirmed_at = self._registry.health.confirmed_at
         return FeedBatch(
             self._registry.log.at,
-            whole,
+            is_snapshot,
             changes,
             None if confirmed_at is None else confirmed_at - arrived_at,
             self._registry.health.failing_age(now),
@@ -222,7 +229,7 @@
         )
 
     def close(self) -> None:
-        """Accept nobody more and end all connections."""
+        """Stop accepting connections and abort the existing ones."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -230,7 +237,7 @@
 
 
 class _PollingConnection(_FrameProtocol):
-    """A follower's side of a connection."""
+    """Client side of a connection, with at most one poll in flight."""
 
     def __init__(self):
         super().__init__()
@@ -238,58 +245,61 @@
         self.open = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the poll under way."""
+        """Fail the poll in flight."""
         self.open = False
         if self._fut is not None and not self._fut.done():
-            self._fut.set_exception(FeedLost(f"connection ended: {exc!r}"))
+            self._fut.set_exception(FeedUnavailable(f"connection ended: {exc!r}"))
 
     def frame_received(self, payload: bytes) -> None:
-        """Complete the poll under way."""
+        """Complete the poll in flight.
+
+        :raises FrameError: when there is none.
+        """
         if self._fut is None or self._fut.done():
-            raise FrameError("an answer without a poll")
+            raise FrameError("response received without a poll in flight")
         self._fut.set_result(payload)
 
     async def exchange(self, poll: FeedPoll) -> FeedBatch:
-        """Send a poll and return its answer.
+        """Send a poll and return its response.
 
-        :raises FeedLost: when none comes.
+        :raises FeedUnavailable: when no valid response arrives in time.
         """
         if not self.open:
-            raise FeedLost("connection already ended")
+            raise FeedUnavailable("connection is closed")
         self._fut = asyncio.get_running_loop().create_future()
         self.transport.write(encode_frame(poll))
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
                 return decode_payload(await self._fut, FeedBatch)
         except (TimeoutError, FrameError) as exc:
-            raise FeedLost(repr(exc)) from exc
+            raise FeedUnavailable(repr(exc)) from exc
 
 
 class FeedClient:
-    """Polls one node after another; keeps the connection to the last."""
+    """Polls other nodes and reuses the connection to the node polled last."""
 
     def __init__(self):
         self._address = ""
         self._conn: _PollingConnection | None = None
 
     async def poll(self, address: str, poll: FeedPoll) -> FeedBatch:
-        """Return what has changed at another node.
+        """Return the changes of another node's view.
 
         :param address: ``IP:PORT``.
-        :raises FeedLost: when it does not tell, or was never current itself.
+        :raises FeedUnavailable: when the node does not respond, or its view was never confirmed.
         """
         try:
             batch = await (await self._connection(address)).exchange(poll)
-            changes = [one.unpacked() for one in batch.changes]
-        except (FeedLost, ValueError) as exc:
+            changes = [change.unpacked() for change in batch.changes]
+        except (FeedUnavailable, ValueError) as exc:
             self.close()
-            raise FeedLost(str(exc)) from exc
+            raise FeedUnavailable(str(exc)) from exc
         except asyncio.CancelledError:
-            # Its answer would be taken for that of the next poll.
+            # Otherwise the pending response would be mistaken for that of the next poll.
             self.close()
             raise
-        if batch.confirmed is None:
-            raise FeedLost("the node knows nothing itself")
+        if batch.confirmed_offset is None:
+            raise FeedUnavailable("the view of the polled node was never confirmed")
         return batch._replace(changes=changes)
 
     async def _connection(self, address: str) -> _PollingConnection:
@@ -299,15 +309,15 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, self._conn = await loop.create_connection(_PollingConnection, host, int(port))
         except (OSError, ValueError, TimeoutError) as exc:
-            raise FeedLost(f"{address}: {exc!r}") from exc
+            raise FeedUnavailable(f"{address}: {exc!r}") from exc
         self._address = address
         return self._conn
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection, if there is one."""
         if self._conn is not None:
             self._conn.close()
             self._conn = None
--- a/src/wheelslip/forwarding/holder.py
+++ b/src/wheelslip/forwarding/holder.py
@@ -1,4 +1,4 @@
-"""The lease of the one node that gives orders to workers."""
+"""Lease of the holder, the only node that sends orders to workers."""
 
 import random
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 
 HOLDER_KEY = "wheelslip/holder"
 ROLLOUT_KEY = "wheelslip/rollout"
-"""The holder's record of the workers that load; it is written before the first order to a
-worker, on condition that the holder's key is unchanged."""
+"""Key of the holder's record of the loading workers. Written before the first order to a worker,
+on the condition that the holder key is unchanged."""
 
-LEASE_SHARE = 0.5
-"""The lease lasts this share of the time within which two holders must not take turns at a
-worker: a lost holder is found sooner, and the next waits out the whole time at each worker
-that the last one may have ordered."""
+LEASE_FRACTION = 0.5
+"""Duration of the lease as a fraction of ``holder_lease_ms``. A lost holder is replaced sooner;
+the new one still waits the full time before it orders a worker that the lost one may have ordered.
+"""
 
 
 class HolderLease(LeasedKey):
-    """The holder's key.
+    """Leased key of the holder.
 
-    :param is_relay: whether this node is the relay of its zone.
+    :param is_relay: returns whether this node is the relay of its zone.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
             self.identity.encode(),
             store,
             registry,
-            lambda: max(min_lease_seconds(), LEASE_SHARE * bounds().holder_lease_ms / 1000),
+            lambda: max(min_lease_seconds(), LEASE_FRACTION * bounds().holder_lease_ms / 1000),
             clock,
             random_source,
         )
         self._is_relay = is_relay
 
-    def _may_gain(self) -> bool:
-        # Only relays contend, or at each loss all nodes of the fleet would call the store.
+    def _may_acquire(self) -> bool:
+        # Only relays are candidates, which limits the calls to the store after a loss.
         relays = self._registry.own_entries(RELAY_PREFIX)
-        return super()._may_gain() and (self._is_relay() or not relays)
+        return super()._may_acquire() and (self._is_relay() or not relays)
--- a/src/wheelslip/forwarding/leased_key.py
+++ b/src/wheelslip/forwarding/leased_key.py
@@ -1,7 +1,8 @@
-"""A key of the store that one node holds under a lease, for as long as it lives.
+"""A leased key of the store, held by at most one node at a time.
 
-The revision at which the key was made is the holder's token. The lease counts from before
-the call that renewed it, so a frozen or cut holder stops by itself.
+The revision at which the key was created is the holder's fencing token. The validity of the lease
+is counted from before the call that granted or renewed it, so a stalled or disconnected holder
+stops using the token before another node can acquire the key.
 """
 
 import asyncio
@@ -14,19 +15,20 @@
 from wheelslip.keyvalue.model import KeyValueError, Put, Transaction
 
 RENEWALS_PER_LEASE = 3
-"""One whose answer is not there after the pause between two is sent once more beside it. A call waits for
-its answer for 1.5 s, and one lost answer ended a lease of 1.5 s or 3.0 s."""
+"""A renewal that is not answered within one interval is sent again in parallel, so that a single
+lost response does not end the lease."""
 
 POLL_SECONDS = 0.1
 ELECTION_JITTER_SECONDS = 0.3
 
 
 class LeasedKey:
-    """Gains, renews and gives up one key; one task owns it.
+    """Acquires, renews and releases a leased key; owned by a single task.
 
-    :param value: what the key tells others about its holder.
-    :param lease_seconds: returns how long a lease lasts without a renewal.
-    :param handicap_seconds: returns how long this node lets better suited ones go first.
+    :param value: value of the key, which describes its holder to other nodes.
+    :param lease_seconds: returns the duration of a lease without renewal.
+    :param election_delay_seconds: returns by how long this node delays its candidacy in favor of
+        better suited nodes.
     """
 
     def __init__(
@@ -38,9 +40,9 @@
         lease_seconds: Callable[[], float],
         clock: Callable[[], float],
         random_source: random.Random,
-        handicap_seconds: Callable[[], float] = lambda: 0.0,
+        election_delay_seconds: Callable[[], float] = lambda: 0.0,
     ):
-        self._handicap_seconds = handicap_seconds
+        self._election_delay_seconds = election_delay_seconds
         self._key = key
         self._value = value
         self._store = store
@@ -55,13 +57,13 @@
         self._stopped = False
 
     def token(self) -> int | None:
-        """Return the token while the key is surely held, else ``None``."""
+        """Return the fencing token, ``None`` unless the key is certainly held."""
         if self._token and self._clock() < self._valid_until:
             return self._token
         return None
 
     async def run(self) -> None:
-        """Hold the key whenever nobody else does, for ever."""
+        """Acquire the key whenever it is free and renew its lease, until stopped."""
         while not self._stopped:
             try:
                 await self._step()
@@ -69,24 +71,24 @@
                 log_event(LogEvent.LEASE_CALL_FAILED, duty=self._key, reason=str(error))
                 await asyncio.sleep(self._random.uniform(0.1, ELECTION_JITTER_SECONDS))
             if self._token and self._clock() >= self._valid_until:
-                self.lose("lapsed")
+                self.mark_lost("lapsed")
 
     async def _step(self) -> None:
         if self._token:
             await self._renew()
             return
-        if not self._may_gain():
+        if not self._may_acquire():
             await asyncio.sleep(POLL_SECONDS)
             return
         jitter = self._random.uniform(0, ELECTION_JITTER_SECONDS)
-        await asyncio.sleep(jitter + self._handicap_seconds())
-        if self._may_gain() and not self._stopped:
-            await self._gain()
+        await asyncio.sleep(jitter + self._election_delay_seconds())
+        if self._may_acquire() and not self._stopped:
+            await self._acquire()
 
-    def _may_gain(self) -> bool:
+    def _may_acquire(self) -> bool:
         return self._registry.configuration is not None and not self._registry.own_entry(self._key)
 
-    async def _gain(self) -> None:
+    async def _acquire(self) -> None:
         sent_at = self._clock()
         seconds = self._lease_seconds()
         lease = await self._store.grant_lease(seconds)
@@ -94,34 +96,35 @@
         result = await self._store.transact(Transaction({self._key: 0}, (put,)))
         if not result.succeeded:
             await self._store.end_lease(lease)
-            # The holder's key is on its way through the watch.
+            # Another node has acquired the key; wait until the watch reports it.
             await asyncio.sleep(POLL_SECONDS)
             return
         self._lease, self._token = lease, result.revision
-        self._note_valid(sent_at, seconds)
-        self._gained()
+        self._set_validity(sent_at, seconds)
+        self._on_acquired()
         log_event(LogEvent.LEASE_GAINED, duty=self._key, fencing_token=self._token)
 
-    def _gained(self) -> None:
-        """Take note of a new token."""
+    def _on_acquired(self) -> None:
+        """Hook for subclasses, called when a new token has been set."""
 
     async def _renew(self) -> None:
         seconds = self._lease_seconds()
         await asyncio.sleep(max(0.0, self._renew_at - self._clock()))
-        sent_at, is_there = await self._keep(seconds / RENEWALS_PER_LEASE)
-        if not is_there:
-            self.lose("over")
+        sent_at, exists = await self._send_renewal(seconds / RENEWALS_PER_LEASE)
+        if not exists:
+            self.mark_lost("over")
             return
-        self._note_valid(sent_at, seconds)
+        self._set_validity(sent_at, seconds)
 
-    async def _keep(self, patience_seconds: float) -> tuple[float, bool]:
-        """Return when the renewal that was answered was sent, and whether the lease was there.
+    async def _send_renewal(self, retry_after_seconds: float) -> tuple[float, bool]:
+        """Send a renewal, and a second one in parallel if the first is not answered in time.
 
-        :raises KeyValueError: when none was answered, or the store refuses.
+        :return: when the renewal answered first was sent, and whether the lease still existed.
+        :raises KeyValueError: when the renewal that finishes first fails.
         """
         sent_at: dict[asyncio.Task, float] = {}
         try:
-            for timeout in (patience_seconds, None):
+            for timeout in (retry_after_seconds, None):
                 call = asyncio.create_task(self._store.keep_lease(self._lease))
                 sent_at[call] = self._clock()
                 done, _ = await asyncio.wait(
@@ -136,29 +139,29 @@
                 call.cancel()
             await asyncio.gather(*sent_at, return_exceptions=True)
 
-    def _note_valid(self, sent_at: float, seconds: float) -> None:
-        """The store has granted so much from the sending of a call on."""
+    def _set_validity(self, sent_at: float, seconds: float) -> None:
+        """Record that the lease is valid for ``seconds`` from the sending of a call."""
         self._valid_until = sent_at + seconds
         self._renew_at = sent_at + seconds / RENEWALS_PER_LEASE
 
-    def lose(self, reason: str) -> None:
-        """Hold the key no longer; whoever may gain it next gets a higher token."""
+    def mark_lost(self, reason: str) -> None:
+        """Discard the token; the next holder acquires a higher one."""
         if self._token:
             log_event(LogEvent.LEASE_LOST, duty=self._key, reason=reason)
         self._token = 0
         self._lease = 0
 
-    async def resign(self, reason: str) -> None:
-        """Hold the key no longer and end its lease, so that it is free at once."""
+    async def release(self, reason: str) -> None:
+        """Discard the token and end the lease, so that other nodes can acquire the key at once."""
         lease = self._lease
-        self.lose(reason)
+        self.mark_lost(reason)
         if lease:
             try:
                 await self._store.end_lease(lease)
             except KeyValueError as error:
                 log_event(LogEvent.LEASE_CALL_FAILED, duty=self._key, reason=str(error))
 
-    async def give_up(self) -> None:
-        """Resign for a planned stop."""
+    async def stop(self) -> None:
+        """Release the key and do not acquire it again."""
         self._stopped = True
-        await self.resign("stopping")
+        await self.release("stopping")
--- a/src/wheelslip/forwarding/relay.py
+++ b/src/wheelslip/forwarding/relay.py
@@ -1,9 +1,9 @@
-"""One node of each zone passes the store's changes on to its zone, and one reads the store.
+"""The relay of each zone, which distributes changes of the store to the nodes of its zone.
 
-The store arbitrates: the relay of a zone holds a key under a lease, whose value is the
-address at which it answers polls. The first of the relays reads the store, the others poll
-it. Who does not know a relay, or finds it silent or out of touch, reads the store itself, so
-a lost relay costs calls and never freshness.
+The relay of a zone holds a leased key whose value is the address at which it answers polls. The
+relay with the smallest key reads the store, and the other relays poll it. A node that knows no
+relay, or whose relay is unreachable or stale, reads the store itself, so the loss of a relay adds
+calls to the store but does not make views stale.
 """
 
 import random
@@ -16,26 +16,28 @@
 RELAY_PREFIX = "wheelslip/relay/"
 LEASE_SECONDS = 3.0
 
-MAX_CONTENDER_AGE_SECONDS = 2.5
-"""Only a node with a view this young offers to read the store for others."""
+MAX_CANDIDATE_VIEW_AGE_SECONDS = 2.5
+"""A node whose view is older does not become a relay."""
 
 
-GREATEST_HANDICAP_SECONDS = 0.6
-"""A node whose link is slow lets others of its zone go first by up to this: a change of the
-store goes to all followers at once, some 100 KB for 28 of them, and on a link of 20 Mbit/s
-that holds up the questions to a dispatcher for 50 ms."""
+MAX_ELECTION_DELAY_SECONDS = 0.6
+"""Election delay of a node without bandwidth. A relay sends each change to all its followers at
+once, which delays other messages on a slow link."""
 
-WIDE_LINK_MEGABITS = 100.0
-"""From this bandwidth on, in Mbit/s, a node lets nobody go first."""
+NO_DELAY_LINK_MEGABITS = 100.0
+"""Bandwidth in Mbit/s from which a node takes part in an election without delay."""
 
 
-def handicap_seconds(link_megabits: float) -> float:
-    """Return how long a node with a link of so many Mbit/s lets others go first."""
-    return GREATEST_HANDICAP_SECONDS * max(0.0, 1.0 - link_megabits / WIDE_LINK_MEGABITS)
+def election_delay_seconds(link_megabits: float) -> float:
+    """Return by how long a node delays its candidacy in favor of nodes with faster links.
+
+    :param link_megabits: bandwidth of the node's link in Mbit/s.
+    """
+    return MAX_ELECTION_DELAY_SECONDS * max(0.0, 1.0 - link_megabits / NO_DELAY_LINK_MEGABITS)
 
 
 class RelayLease(LeasedKey):
-    """The key of a zone's relay.
+    """Leased key of the relay of a zone.
 
     :param address: where this node answers polls, ``IP:PORT``.
     :param link_megabits: returns the bandwidth of this node's link in Mbit/s.
@@ -60,57 +62,58 @@
             lambda: max(min_lease_seconds(), LEASE_SECONDS),
             clock,
             random_source,
-            lambda: handicap_seconds(link_megabits()),
+            lambda: election_delay_seconds(link_megabits()),
         )
         self._address = address
 
-    def _may_gain(self) -> bool:
-        return super()._may_gain() and self._registry.age() < MAX_CONTENDER_AGE_SECONDS
+    def _may_acquire(self) -> bool:
+        return super()._may_acquire() and self._registry.age() < MAX_CANDIDATE_VIEW_AGE_SECONDS
 
-    def other_zones(self) -> list[str]:
-        """Return the addresses of the other zones' relays, while this node is a relay."""
+    def other_zone_addresses(self) -> list[str]:
+        """Return the addresses of the other zones' relays; empty if this node is no relay."""
         if self.token() is None:
             return []
         relays = self._registry.own_entries(RELAY_PREFIX)
         return sorted(value.decode("latin-1") for key, value in relays.items() if key != self._key)
 
-    def addresses(self) -> list[str]:
-        """Return the addresses of all relays but this node."""
+    def other_addresses(self) -> list[str]:
+        """Return the addresses of the relays of all zones except this node."""
         relays = self._registry.own_entries(RELAY_PREFIX).values()
-        return [one.decode("latin-1") for one in relays if one != self._value]
+        return [value.decode("latin-1") for value in relays if value != self._value]
 
-    def by_tenure(self) -> list[str]:
-        """Return the addresses of the relays of all zones, the longest in office first.
+    def addresses_by_tenure(self) -> list[str]:
+        """Return the addresses of the relays of all zones, longest tenure first.
 
-        All nodes see the same order: that of the revisions at which the keys were made.
+        The order is that of the revisions at which the keys were created, and so the same on all
+        nodes.
         """
         keys = self._registry.own_entries(RELAY_PREFIX)
         entries = sorted(self._registry.own_entry(key)[::-1] for key in keys)
         return [value.decode("latin-1") for _, value in entries]
 
     def dispatchers_of(self, service: str) -> list[str]:
-        """Return who chooses the workers of a service, the first choice first.
+        """Return the addresses of the dispatchers of a service, in order of preference.
 
-        Where tenants or workers of the service have limits, the first relay chooses, since it counts
-        for the limits as it does so. Otherwise services are dealt out to the relays in order of tenure,
-        those of model engines first: the longest in office knows most, and a new relay takes no
-        service away.
+        If there are rate limits for tenants or for workers of the service, the relay with the
+        longest tenure comes first, since the dispatcher also enforces the limits. Otherwise
+        services are distributed over the relays in order of tenure, those of model engines first:
+        those relays have the most complete placement state, and a new relay takes over no service.
         """
-        relays = self.by_tenure()
+        relays = self.addresses_by_tenure()
         cfg = self._registry.configuration
         if not relays or cfg is None or cfg.tenant_limits or self._registry.has_limited(service):
             return relays
-        services = sorted(cfg.services.values(), key=lambda one: (one.engine is None, one.name))
-        names = [one.name for one in services]
+        services = sorted(cfg.services.values(), key=lambda item: (item.engine is None, item.name))
+        names = [item.name for item in services]
         first = names.index(service) % len(relays) if service in names else 0
         return relays[first:] + relays[:first]
 
     def node_to_follow(self) -> str | None:
-        """Return the address of the node whose view this node polls, ``None`` for the store.
+        """Return the address of the node that this node polls, ``None`` to read the store.
 
-        A node follows the relay of its zone, and the relays follow the first among them, so
-        that one node reads the store for all. Each follows only a relay whose key comes before
-        its own, whatever it knows of the others, so none follow each other in a circle.
+        A node follows the relay of its zone, and the relays follow the one with the smallest key.
+        Each relay follows only relays whose keys sort before its own, so even nodes with different
+        views of the relays do not follow each other in a cycle.
         """
         relays = self._registry.own_entries(RELAY_PREFIX)
         followed = self._key if self.token() is None else min([self._key, *relays])
--- a/src/wheelslip/forwarding/relay_link.py
+++ b/src/wheelslip/forwarding/relay_link.py
@@ -1,4 +1,4 @@
-"""The task by which relays tell each other the loads of their zones, by datagrams."""
+"""Exchange of zone loads between relays by datagrams."""
 
 import asyncio
 import random
@@ -8,24 +8,24 @@
 from wheelslip.routing.load_table import LoadAtWorker, LoadTable, ZoneLoads
 
 LOADS = "loads"
-"""Kind of the messages."""
+"""Datagram kind of the load reports."""
 
-TELL_SECONDS = 0.1
-TELL_SECONDS_PER_RELAY = 0.025
-"""Pause between two tellings: it grows with the number of relays that are told."""
+MIN_REPORT_INTERVAL_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS_PER_RELAY = 0.025
+"""The interval between reports increases with the number of recipients."""
 
-PART_WORKERS = 16
-"""Workers in one datagram, so that it fits a packet of 1,400 bytes."""
+WORKERS_PER_DATAGRAM = 16
+"""Keeps a datagram within a packet of 1,400 bytes."""
 
-PART_PROMPTS = 24
-"""Saved prompts in the first datagram, for the same reason."""
+SAVED_PROMPTS_PER_REPORT = 24
+"""Saved prompts in the first datagram of a report; limited for the same reason."""
 
 
 class RelayLink:
-    """Tells the other relays and takes what they tell.
+    """Sends load reports to the other relays and records the reports received from them.
 
-    :param own_loads: returns what this node has at its workers now.
-    :param other_relays: returns the addresses to tell; nobody while this node is no relay.
+    :param own_loads: returns the loads of this node's requests at the workers.
+    :param other_relays: returns the recipients' addresses; empty while this node is no relay.
     """
 
     def __init__(
@@ -46,21 +46,21 @@
         self._clock = clock
         self._incarnation = random_source.getrandbits(48)
         self._sequence = 0
-        socket.register(LOADS, ZoneLoads, self._hear)
+        socket.register(LOADS, ZoneLoads, self._receive)
 
-    def _hear(self, news: ZoneLoads, sender: str) -> None:
-        if news.zone != self._zone:
-            self._table.record_zone_loads(news, self._clock())
+    def _receive(self, report: ZoneLoads, sender: str) -> None:
+        if report.zone != self._zone:
+            self._table.record_zone_loads(report, self._clock())
 
     async def run(self) -> None:
-        """Tell the other relays for ever."""
+        """Send reports periodically until cancelled."""
         while True:
-            pause = TELL_SECONDS_PER_RELAY * len(self._other_relays())
-            await asyncio.sleep(max(TELL_SECONDS, pause))
-            self.tell()
+            interval = REPORT_INTERVAL_SECONDS_PER_RELAY * len(self._other_relays())
+            await asyncio.sleep(max(MIN_REPORT_INTERVAL_SECONDS, interval))
+            self.send_report()
 
-    def tell(self) -> None:
-        """Tell now, if there is anybody to tell and the socket is open."""
+    def send_report(self) -> None:
+        """Send a report if there are other relays and the socket is open."""
         now = self._clock()
         self._table.drop_expired(now)
         addresses = self._other_relays()
@@ -72,8 +72,8 @@
 
     def _parts(self, loads: list[LoadAtWorker], now: float) -> Iterator[ZoneLoads]:
         loads = sorted(loads)
-        saved = self._table.saved.recent(now)[:PART_PROMPTS]
-        for number, first in enumerate(range(0, max(1, len(loads)), PART_WORKERS)):
-            part = loads[first : first + PART_WORKERS]
+        saved = self._table.saved.recent(now)[:SAVED_PROMPTS_PER_REPORT]
+        for number, first in enumerate(range(0, max(1, len(loads)), WORKERS_PER_DATAGRAM)):
+            part = loads[first : first + WORKERS_PER_DATAGRAM]
             yield ZoneLoads(self._zone, number, self._incarnation, self._sequence, part, saved)
             saved = []
--- a/src/wheelslip/forwarding/rollout.py
+++ b/src/wheelslip/forwarding/rollout.py
@@ -1,12 +1,14 @@
-"""Rollout of named weights by the holder of the lease, and the record that tells all nodes.
+"""Rollout of weights versions to the workers, driven by the node that holds the holder lease.
 
-The record names the workers that are loading, so that nodes send elsewhere, and the versions
-that the holder has seen there, which it knows before their entries say so. It is a hint:
-every request carries its version as a precondition.
+The holder publishes a record that names the workers that are loading, so that nodes send their
+requests to other workers, and the versions that it has read from the workers' reports, which are
+newer than those in the workers' entries. Nodes may act on an outdated record, since every request
+carries its weights version as a precondition.
 
-A new holder goes on with the loads that the record of the one before names. To a worker that
-that one may have ordered it gives no order until the time is over within which two holders
-must not take turns; all others it may order at once.
+A new holder continues the loads named in the record of the previous one. It does not order a
+worker that the previous holder may have ordered until the handover interval has passed, which is
+the minimum time between orders of two holders to one worker. All other workers may be ordered
+immediately.
 """
 
 import asyncio
@@ -32,54 +34,61 @@
 from wheelslip.routing.worker_choice import PREFILL_TOKENS_PER_SECOND, WorkerPlacement
 from wheelslip.weights.schedule import INITIAL_LOAD_SECONDS, WorkerWeights, next_loads
 
-STEP_SECONDS = 0.1
-REPORT_SECONDS = 0.15
-"""Pause between reports of a worker that loads; reports are some hundred ms old."""
+RECONCILE_INTERVAL_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS = 0.15
+"""Pause between two report requests to a worker that loads."""
 
-REPEAT_ORDER_SECONDS = 0.6
-"""An order that shows no effect for this long is given again, with the same expected
-sequence: whichever is carried out first makes the other void."""
+ORDER_RETRY_SECONDS = 0.6
+"""An order without visible effect is repeated after this time. The repetition expects the same
+sequence number, so the worker carries out only one of the two."""
 
-DRAIN_BEFORE_SECONDS = 0.15
-"""Nodes send elsewhere for this long before an order, so that what waits at the worker has
-begun by then: an order turns away what has not."""
+PRE_ORDER_DRAIN_SECONDS = 0.15
+"""Delay between publishing the record and sending an order. Nodes stop sending requests to the
+worker, and queued requests start, because an order rejects those that have not started."""
 
-BEHIND_SECONDS = 0.15
-"""Loads wait while the workers have more than this to read on average."""
+MAX_BACKLOG_SECONDS = 0.15
+"""Loads are deferred while the mean prefill backlog per worker exceeds this time."""
 
-UNREACHABLE_PAUSE_SECONDS = 1.0
-MOST_PAUSE_SECONDS = 4.0
-"""A worker that gives no report is left alone this long, and twice as long each time that it
-gives none again. It stays short beside the bound within which all workers must have a version
-once trouble is over (14 s at the deployments with the least)."""
+INITIAL_BACKOFF_SECONDS = 1.0
+MAX_BACKOFF_SECONDS = 4.0
+"""Limit of the backoff from a worker that gives no report, which doubles with each failure. Must
+stay short compared with the time allowed for a rollout after a disruption."""
 
-LOAD_SMOOTHING = 0.3
+LOAD_TIME_SMOOTHING = 0.3
 
-_ACCEPTED = (200, 202)
-_UNDER_WAY = 409
-_FENCED = 412
-_OTHER_INCARNATION = 421
+_STATUS_ACCEPTED = (200, 202)
+_STATUS_CONFLICT = 409
+"""Another order is in progress, or the expected sequence number is outdated."""
+
+_STATUS_FENCED = 412
+_STATUS_OTHER_INCARNATION = 421
 
 
 @dataclass
 class _Load:
+    """A load in progress.
+
+    :ivar last_order_at: when the last order was sent; 0.0 before the first order and after a
+        conflict, so that the next order is sent without a delay.
+    """
+
     worker: Worker
     model: str
     version: int
-    began: float
-    ordered_at: float = 0.0
+    started_at: float
+    last_order_at: float = 0.0
     expected_sequence: int | None = None
 
 
-class _Pause(NamedTuple):
+class _Backoff(NamedTuple):
     until: float
     seconds: float
 
 
 class WeightsRollout:
-    """The task that orders workers while this node holds the lease.
+    """The task that orders workers to load weights while this node holds the lease.
 
-    :param view: of the records of all holders.
+    :param view: the rollout records of all holders as seen by this node.
     """
 
     def __init__(
@@ -102,17 +111,17 @@
         self._bounds = bounds
         self._clock = clock
         self._loads: dict[Incarnation, _Load] = {}
-        self._pauses: dict[Incarnation, _Pause] = {}
+        self._backoffs: dict[Incarnation, _Backoff] = {}
         self._tasks: set[asyncio.Task] = set()
         self._load_seconds = INITIAL_LOAD_SECONDS
         self._published: RolloutRecord | None = None
-        self._orders_from: dict[str, float] = {}
-        self._ordered_at: dict[str, float] = {}
+        self._order_allowed_at: dict[str, float] = {}
+        self._last_order_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Reconcile for ever; each step looks only at what is known now."""
+        """Reconcile periodically until cancelled; each step uses only the current state."""
         while True:
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
             try:
                 await self._step()
             except KeyValueError as error:
@@ -123,62 +132,80 @@
         if token is None:
             self._published = None
             return
-        self._forget_old_orders()
+        self._drop_expired()
         if self._view.record.fencing_token != token:
-            self._take_over()
+            self._defer_orders_after_handover()
         started = []
         for model in self._registry.models():
             started += self._start_loads(model)
         try:
             await self._publish()
         except KeyValueError:
-            # No order without a record that names its worker.
+            # No order may be sent to a worker that no published record names as loading.
             for load in started:
                 self._loads.pop(load.worker.info.id, None)
             raise
         for load in started:
-            task = asyncio.get_running_loop().create_task(self._carry_out(load))
+            task = asyncio.get_running_loop().create_task(self._run_load(load))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _quiet_seconds(self) -> float:
-        """Return how long after one holder's order another may order the same worker."""
+    def _handover_seconds(self) -> float:
+        """Return the handover interval."""
         bounds = self._bounds()
         return (bounds.holder_lease_ms + bounds.thaw_slack_ms) / 1000
 
-    def _forget_old_orders(self) -> None:
-        now, quiet = self._clock(), self._quiet_seconds()
-        self._orders_from = {one: at for one, at in self._orders_from.items() if now < at}
-        self._ordered_at = {one: at for one, at in self._ordered_at.items() if now < at + quiet}
-        known = self._registry.workers
-        self._pauses = {one: pause for one, pause in self._pauses.items() if one in known}
-
-    def _take_over(self) -> None:
-        """Learn which workers the holder before may have ordered, until a record of this one
-        replaces its record."""
-        record, quiet = self._view.record, self._quiet_seconds()
-        for worker_id in record.ordered_ids():
-            self._orders_from[worker_id] = self._view.last_order(worker_id) + quiet
-
-    def _is_taken_over(self, incarnation: Incarnation) -> bool:
-        """Whether the newest record, of another holder, says that a worker loads."""
+    def _drop_expired(self) -> None:
+        now, handover = self._clock(), self._handover_seconds()
+        self._order_allowed_at = {
+            worker_id: allowed_at
+            for worker_id, allowed_at in self._order_allowed_at.items()
+            if now < allowed_at
+        }
+        self._last_order_at = {
+            worker_id: sent_at
+            for worker_id, sent_at in self._last_order_at.items()
+            if now < sent_at + handover
+        }
+        current = self._registry.workers
+        self._backoffs = {
+            incarnation: backoff
+            for incarnation, backoff in self._backoffs.items()
+            if incarnation in current
+        }
+
+    def _defer_orders_after_handover(self) -> None:
+        """Defer orders to workers that the previous holder may have ordered.
+
+        Repeated until this node's record replaces that of the previous holder.
+        """
+        record, handover = self._view.record, self._handover_seconds()
+        for worker_id in record.recently_ordered_ids():
+            self._order_allowed_at[worker_id] = self._view.latest_order_time(worker_id) + handover
+
+    def _is_inherited_load(self, incarnation: Incarnation) -> bool:
+        """Return whether the newest record, of another holder, names a worker as loading."""
         record = self._view.record
         return record.fencing_token != self._lease.token() and incarnation in record.loading
 
     def _start_loads(self, model: str) -> list[_Load]:
         now = self._clock()
-        workers = self._workers(model)
-        by_id = {one.info.id: one for one in workers}
-        states = {one: self._state(by_id[one], model) for one in by_id}
+        workers = self._orderable_workers(model)
+        by_id = {worker.info.id: worker for worker in workers}
+        states = {
+            incarnation: self._worker_weights(by_id[incarnation], model) for incarnation in by_id
+        }
         started = [
-            self._begin_load(by_id[one], model)
-            for one, state in states.items()
-            if self._is_taken_over(one) and state.due is not None and not state.loading
+            self._begin_load(by_id[incarnation], model)
+            for incarnation, state in states.items()
+            if self._is_inherited_load(incarnation) and state.due is not None and not state.loading
         ]
-        states |= {load.worker.info.id: self._state(load.worker, model) for load in started}
-        behind = self._is_behind(workers)
-        for worker_id in next_loads(list(states.values()), now, self._load_seconds, behind):
-            started.append(self._begin_load(by_id[worker_id], model))
+        states |= {
+            load.worker.info.id: self._worker_weights(load.worker, model) for load in started
+        }
+        has_backlog = self._has_backlog(workers)
+        for next_id in next_loads(list(states.values()), now, self._load_seconds, has_backlog):
+            started.append(self._begin_load(by_id[next_id], model))
         return started
 
     def _begin_load(self, worker: Worker, model: str) -> _Load:
@@ -187,58 +214,61 @@
         return load
 
     def _is_paused(self, worker: Worker) -> bool:
-        """Whether a worker gave no report of late, or is another holder's for a while yet."""
-        pause = self._pauses.get(worker.info.id)
-        if pause is not None and self._clock() < pause.until:
+        """Return whether a worker is in backoff or within the handover interval."""
+        backoff = self._backoffs.get(worker.info.id)
+        if backoff is not None and self._clock() < backoff.until:
             return True
-        return not self._may_order(worker.info.worker_id)
-
-    def _may_order(self, worker_id: str) -> bool:
-        return self._clock() >= self._orders_from.get(worker_id, float("-inf"))
-
-    def _pause(self, incarnation: Incarnation) -> None:
-        known = self._pauses.get(incarnation)
-        seconds = UNREACHABLE_PAUSE_SECONDS
-        if known is not None:
-            seconds = min(MOST_PAUSE_SECONDS, 2 * known.seconds)
-        self._pauses[incarnation] = _Pause(self._clock() + seconds, seconds)
-
-    def _is_behind(self, workers: list[Worker]) -> bool:
-        """Whether prompts wait at the workers, so that none can be spared."""
-        unread = sum(self._placement.total_load(one.info.id).prefill_tokens for one in workers)
-        return unread > BEHIND_SECONDS * PREFILL_TOKENS_PER_SECOND * len(workers)
+        return not self._is_order_allowed(worker.info.worker_id)
+
+    def _is_order_allowed(self, worker_id: str) -> bool:
+        return self._clock() >= self._order_allowed_at.get(worker_id, float("-inf"))
+
+    def _back_off(self, incarnation: Incarnation) -> None:
+        previous = self._backoffs.get(incarnation)
+        seconds = INITIAL_BACKOFF_SECONDS
+        if previous is not None:
+            seconds = min(MAX_BACKOFF_SECONDS, 2 * previous.seconds)
+        self._backoffs[incarnation] = _Backoff(self._clock() + seconds, seconds)
+
+    def _has_backlog(self, workers: list[Worker]) -> bool:
+        """Return whether the prefill backlog is too large to take a worker out of service."""
+        prefill_tokens = sum(
+            self._placement.total_load(worker.info.id).prefill_tokens for worker in workers
+        )
+        return prefill_tokens > MAX_BACKLOG_SECONDS * PREFILL_TOKENS_PER_SECOND * len(workers)
 
-    def _workers(self, model: str) -> list[Worker]:
+    def _orderable_workers(self, model: str) -> list[Worker]:
         return [
-            one
-            for one in self._registry.workers.values()
-            if model in one.weights and self._registry.takes_orders(one)
+            worker
+            for worker in self._registry.workers.values()
+            if model in worker.weights and self._registry.takes_orders(worker)
         ]
 
-    def _state(self, worker: Worker, model: str) -> WorkerWeights:
+    def _worker_weights(self, worker: Worker, model: str) -> WorkerWeights:
         version = worker.weights[model]
         since = self._registry.pending_since(model, version)
-        due = None
+        deadline = None
         if since is not None:
-            due = since + self._bounds().weights_deadline_ms / 1000
+            deadline = since + self._bounds().weights_deadline_ms / 1000
         incarnation = worker.info.id
         running = self._placement.total_load(incarnation).running
         loading, paused = incarnation in self._loads, self._is_paused(worker)
-        return WorkerWeights(incarnation, version, due, loading, running, paused)
+        return WorkerWeights(incarnation, version, deadline, loading, running, paused)
 
     async def _publish(self) -> None:
-        """Write the record when the workers that load have changed."""
+        """Write the record if the set of loading workers has changed."""
         token = self._lease.token()
-        record = self._record()
+        record = self._build_record()
         if token is None or self._is_published(record):
             return
         put = Put(ROLLOUT_KEY, msgspec.json.encode(record))
-        known = self._registry.own_entry(ROLLOUT_KEY)
-        # The record's own revision too: a write that is done late must not undo a newer one.
-        expected = {HOLDER_KEY: token, ROLLOUT_KEY: known[1] if known else 0}
+        current = self._registry.own_entry(ROLLOUT_KEY)
+        # The revision of the record itself is a condition too, so that a delayed write cannot
+        # replace a newer record.
+        expected = {HOLDER_KEY: token, ROLLOUT_KEY: current[1] if current else 0}
         result = await self._store.transact(Transaction(expected, (put,)))
         if not result.succeeded:
-            raise KeyValueUnavailable("the holder's key or its record has changed")
+            raise KeyValueUnavailable("the holder key or the rollout record has changed")
         self._published = record
 
     def _is_published(self, record: RolloutRecord) -> bool:
@@ -246,7 +276,7 @@
             return not record.loading and not self._registry.loading
         return self._published.loading == record.loading
 
-    def _record(self) -> RolloutRecord:
+    def _build_record(self) -> RolloutRecord:
         weights = {
             worker.info.id: {
                 model: worker.weights[model]
@@ -258,59 +288,65 @@
         weights = {incarnation: models for incarnation, models in weights.items() if models}
         token = self._lease.token() or 0
         loading = {load.worker.info.worker_id for load in self._loads.values()}
-        recent = {*self._ordered_at, *self._orders_from} - loading
+        recent = {*self._last_order_at, *self._order_allowed_at} - loading
         return RolloutRecord(token, sorted(self._loads), weights, sorted(recent))
 
-    async def _carry_out(self, load: _Load) -> None:
+    async def _run_load(self, load: _Load) -> None:
         info = load.worker.info
-        await asyncio.sleep(DRAIN_BEFORE_SECONDS)
+        await asyncio.sleep(PRE_ORDER_DRAIN_SECONDS)
         try:
             while not await self._load_step(load):
-                await asyncio.sleep(REPORT_SECONDS)
+                await asyncio.sleep(REPORT_INTERVAL_SECONDS)
         except WorkerUnreachable as error:
-            self._pause(info.id)
+            self._back_off(info.id)
             log_event(LogEvent.ORDER_REFUSED, engine=info.worker_id, reason=str(error))
         finally:
             self._loads.pop(info.id, None)
 
     async def _load_step(self, load: _Load) -> bool:
-        """Look at a worker and order it if that shows need; return whether it is done.
+        """Request a worker's report and send an order if needed.
 
+        :return: whether the load has finished or is abandoned.
         :raises WorkerUnreachable: when the worker gives no report.
         """
         info = load.worker.info
         report = await self._control.report(info)
         if report.born and report.born != info.born:
-            self._note_other_start(info, report.born)
-        self._pauses.pop(info.id, None)
+            self._reject_report(info, report.born)
+        self._backoffs.pop(info.id, None)
         version = report.weights.get(load.model, 0)
         if version >= load.version and not report.busy:
-            self._finish(load, version)
+            self._finish_load(load, version)
             return True
         if info.id not in self._registry.workers:
             return True
         now = self._clock()
-        waiting = load.ordered_at and now - load.ordered_at < REPEAT_ORDER_SECONDS
-        if report.busy or waiting or not self._may_order(info.worker_id):
+        waiting = load.last_order_at and now - load.last_order_at < ORDER_RETRY_SECONDS
+        if report.busy or waiting or not self._is_order_allowed(info.worker_id):
             return False
         token = self._lease.token()
         if token is None:
             return True
-        load.ordered_at = self._ordered_at[info.worker_id] = now
-        # Named since this load was planned: one load is enough for both.
+        load.last_order_at = self._last_order_at[info.worker_id] = now
+        # Includes versions named since the load was started.
         load.version = self._registry.newest_weights(load.model) or load.version
-        return await self._order(load, report.sequence, token)
+        return await self._send_order(load, report.sequence, token)
 
-    def _note_other_start(self, info: WorkerInfo, born: int) -> None:
-        """Pass a report over that tells of another start of a worker than the one in view.
+    def _reject_report(self, info: WorkerInfo, born: int) -> None:
+        """Reject a report of another incarnation than that in the registry.
 
-        :raises WorkerUnreachable: always, since nothing is known of the one in view.
+        :param born: start time of the incarnation that sent the report, in Unix milliseconds.
+        :raises WorkerUnreachable: always.
         """
         if born > info.born:
             self._registry.mark_replaced(info.id)
-        raise WorkerUnreachable(f"report of the start at {born}, not {info.born}")
+        raise WorkerUnreachable(f"report of the incarnation started at {born}, not {info.born}")
 
-    async def _order(self, load: _Load, sequence: int, token: int) -> bool:
+    async def _send_order(self, load: _Load, sequence: int, token: int) -> bool:
+        """Order a worker to load weights.
+
+        :return: whether the load is abandoned because the order was rejected.
+        """
         worker = load.worker.info
         order = WeightsOrder(
             worker, load.model, load.version, self._lease.identity, token, sequence
@@ -320,22 +356,22 @@
         try:
             status = await self._control.order_weights(order)
         except WorkerUnreachable as error:
-            # It may have been taken; the worker's next report tells.
+            # The order may have been accepted; the next report shows whether it was.
             log_event(LogEvent.ORDER_REFUSED, reason=str(error), **fields)
             return False
-        event = LogEvent.ORDER_GIVEN if status in _ACCEPTED else LogEvent.ORDER_REFUSED
+        event = LogEvent.ORDER_GIVEN if status in _STATUS_ACCEPTED else LogEvent.ORDER_REFUSED
         log_event(event, reason=f"status {status}", **fields)
-        if status == _UNDER_WAY:
-            load.ordered_at = 0.0
-        if status == _FENCED:
-            # Somebody ordered with a higher token: only a new one may order again.
-            await self._lease.resign("fenced")
-        if status == _OTHER_INCARNATION:
+        if status == _STATUS_CONFLICT:
+            load.last_order_at = 0.0
+        if status == _STATUS_FENCED:
+            # The worker has accepted an order with a higher token; a new token is needed.
+            await self._lease.release("fenced")
+        if status == _STATUS_OTHER_INCARNATION:
             self._registry.mark_replaced(worker.id)
-        return status not in (*_ACCEPTED, _UNDER_WAY)
+        return status not in (*_STATUS_ACCEPTED, _STATUS_CONFLICT)
 
-    def _finish(self, load: _Load, version: int) -> None:
-        if load.ordered_at:
-            took = self._clock() - load.began
-            self._load_seconds += LOAD_SMOOTHING * (took - self._load_seconds)
+    def _finish_load(self, load: _Load, version: int) -> None:
+        if load.last_order_at:
+            elapsed = self._clock() - load.started_at
+            self._load_seconds += LOAD_TIME_SMOOTHING * (elapsed - self._load_seconds)
         self._registry.note_weights(load.worker.info.id, load.model, version)
--- a/src/wheelslip/forwarding/rollout_record.py
+++ b/src/wheelslip/forwarding/rollout_record.py
@@ -1,4 +1,4 @@
-"""The holder's record of a rollout, and what a node learns from the records of holders."""
+"""The rollout record that a holder publishes, and a node's view of the published records."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 
 
 class RolloutRecord(msgspec.Struct):
-    """What the holder tells all nodes.
+    """State of the rollout, published by the holder to all nodes.
 
-    :ivar loading: incarnations of workers that are out of service for loading.
+    :ivar fencing_token: token of the holder that wrote the record.
+    :ivar loading: incarnations of workers that are out of service while they load.
     :ivar weights: version of each model by incarnation.
-    :ivar fencing_token: of the holder that wrote it.
-    :ivar recent: worker ids that load no more, but may have been ordered shortly before the
-        record was written: within the time in which two holders must not take turns. That holds
-        for a worker whichever of its starts got the order, which may reach it late.
+    :ivar recent: ids of workers that no longer load, but may have been ordered so recently that
+        another holder must not order them yet. Worker ids, because a delayed order may reach a
+        later incarnation of the worker.
     """
 
     fencing_token: int = 0
@@ -25,59 +25,62 @@
     weights: dict[Incarnation, dict[str, int]] = {}
     recent: list[str] = []
 
-    def ordered_ids(self) -> set[str]:
-        """Return the ids of the workers that its writer may have ordered of late."""
+    def recently_ordered_ids(self) -> set[str]:
+        """Return the ids of the workers that the writer of the record may have ordered."""
         return {*map(worker_id_of, self.loading), *self.recent}
 
 
 class RolloutView:
-    """What this node sees of the holders' records: who loads, and when orders were last given.
+    """A node's view of the holders' records: which workers load and when orders were last sent.
 
-    A holder gives orders only to workers that its record names as loading, and can write a
-    record only while the holder's key is its own. So another holder's last order to a worker
-    came before its record named the worker no more, or before its key was gone.
+    A holder orders only workers that its record names as loading, and can write a record only
+    while it holds the holder key. So its last order to a worker precedes the record that no
+    longer names the worker, or the removal of the holder key.
 
-    :ivar record: the newest one seen.
+    :ivar record: the newest record seen.
     """
 
     def __init__(self, registry: Registry, clock: Callable[[], float]):
         self._registry = registry
         self._clock = clock
         self.record = RolloutRecord()
-        self._record_at = float("-inf")
-        self._holder = 0
-        self._ended: dict[int, float] = {}
+        self._record_seen_at = float("-inf")
+        self._holder_token = 0
+        self._ended_at: dict[int, float] = {}
 
     def entry_changed(self, key: str) -> None:
-        """Take a change of one of the system's own keys into account."""
+        """Process a change of a system entry."""
         if key == HOLDER_KEY:
-            self._take_holder()
+            self._update_holder()
         elif key == ROLLOUT_KEY:
-            self._take_record()
+            self._update_record()
 
-    def last_order(self, worker_id: str) -> float:
-        """Return a time, on this node's clock, after which the record's writer gave no order
-        to a worker; minus infinity for a worker that it did not order of late."""
+    def latest_order_time(self, worker_id: str) -> float:
+        """Return an upper bound on when the writer of the record last ordered a worker.
+
+        :return: time on this node's clock; minus infinity if the record does not name the worker
+            as loading or recently ordered.
+        """
         record = self.record
         if worker_id in record.recent:
-            return self._record_at
-        if worker_id not in record.ordered_ids():
+            return self._record_seen_at
+        if worker_id not in record.recently_ordered_ids():
             return float("-inf")
-        if record.fencing_token == self._holder:
+        if record.fencing_token == self._holder_token:
             return self._clock()
-        return self._ended.get(record.fencing_token, self._record_at)
+        return self._ended_at.get(record.fencing_token, self._record_seen_at)
 
-    def _take_holder(self) -> None:
+    def _update_holder(self) -> None:
         entry = self._registry.own_entry(HOLDER_KEY)
-        holder = entry[1] if entry else 0
-        if self._holder and holder != self._holder:
-            self._ended[self._holder] = self._clock()
-        self._holder = holder
+        token = entry[1] if entry else 0
+        if self._holder_token and token != self._holder_token:
+            self._ended_at[self._holder_token] = self._clock()
+        self._holder_token = token
 
-    def _take_record(self) -> None:
+    def _update_record(self) -> None:
         record = self._registry.own_record(ROLLOUT_KEY, RolloutRecord)
         if record is None:
             return
         self.record = record
-        self._record_at = self._clock()
+        self._record_seen_at = self._clock()
         self._registry.take_rollout(frozenset(record.loading), record.weights)
--- a/tests/probe/forwarding/conftest.py
+++ b/tests/probe/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine test function with a fresh site, and takes the site down."""
+"""Runs each coroutine test function with a new site and cancels the remaining tasks afterwards."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,9 @@
     try:
         await function(site=site, **arguments)
     finally:
-        tasks = [one for one in asyncio.all_tasks() if one is not asyncio.current_task()]
+        tasks = [
+            pending for pending in asyncio.all_tasks() if pending is not asyncio.current_task()
+        ]
         for task in tasks:
             task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
@@ -36,5 +38,5 @@
 
 @pytest.fixture
 def site(tmp_path):
-    """The folder of the site; the test function itself gets the running site."""
+    """Return the folder of the site; test functions get the running site instead."""
     return tmp_path
--- a/tests/probe/forwarding/test_one_reader.py
+++ b/tests/probe/forwarding/test_one_reader.py
@@ -1,4 +1,4 @@
-"""One node reads the store for the nodes of all zones; none depends on it."""
+"""One relay reads the store for the relays of all zones, which do not depend on it."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 ZONES = ("z1", "z2", "z3")
 
 
-async def relays_of(site: Site) -> None:
-    """Start a node in each of three zones, each its zone's relay."""
+async def start_relays(site: Site) -> None:
+    """Start one node in each of three zones, which becomes the relay of its zone."""
     site.configure()
     await site.add_worker(PlatformWorker("i-1"), "plain")
     await site.add_relays(ZONES)
@@ -18,13 +18,13 @@
     await until(lambda: first.gauge("followers") == 2, "the others follow the first relay")
 
 
-async def test_the_relays_of_all_zones_learn_of_changes_by_one_reader_of_the_store(site):
-    await relays_of(site)
-    # Watches that were under way when the first relay was found end.
+async def test_relays_of_all_zones_receive_changes_from_a_single_store_reader(site):
+    await start_relays(site)
+    # Wait for the watches that were started before the first relay was elected.
     await asyncio.sleep(1.2)
     site.store.calls.clear()
     await asyncio.sleep(2.0)
-    # One watcher asks anew after 0.6 s; three would ask three times as often.
+    # A watch takes 0.6 s, so three readers would exceed the limit.
     assert 1 <= site.store.calls.count(WATCH) <= 4
     site.configure(configuration(9, keys=["key-2"]))
     for zone in ZONES:
@@ -33,8 +33,8 @@
         assert (await site.ask("/plain/", f"new-{zone}", zone, key="key-2")).status == 200
 
 
-async def test_relays_go_on_when_the_reader_is_cut_from_the_store(site):
-    await relays_of(site)
+async def test_relays_stay_current_when_the_reader_is_cut_off_from_the_store(site):
+    await start_relays(site)
     site.cut_from_store("z1")
     site.store.server.reset_all()
     await asyncio.sleep(0.5)
@@ -46,8 +46,8 @@
     assert all(site.nodes[zone].is_ready() for zone in ("z2", "z3"))
 
 
-async def test_a_lost_reader_leaves_the_other_relays_current(site):
-    await relays_of(site)
+async def test_relays_stay_current_when_the_reader_is_stopped(site):
+    await start_relays(site)
     lost = site.nodes.pop("z1")
     await lost.stop()
     site.configure(configuration(9, keys=["key-2"]))
--- a/tests/probe/forwarding/test_relay.py
+++ b/tests/probe/forwarding/test_relay.py
@@ -1,4 +1,4 @@
-"""One node of a zone reads the store for the others; none depends on it."""
+"""The relay of a zone reads the store for the other nodes, which do not depend on it."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
     return node.gauge("relay") == 1.0
 
 
-async def zone_of(site, count: int):
-    """Start nodes of one zone and return the relay and the others' names."""
+async def start_zone(site, count: int):
+    """Start nodes of one zone and return the names of the relay and of the other nodes."""
     site.configure()
     await site.add_worker(PlatformWorker("i-1"), "plain")
     seed = f"127.0.0.1:{free_port()}"
@@ -23,20 +23,20 @@
     for name in site.nodes:
         await site.ready(name)
     nodes = site.nodes
-    await until(lambda: sum(is_relay(one) for one in nodes.values()) == 1, "one relay")
-    relay = next(name for name, one in nodes.items() if is_relay(one))
+    await until(lambda: sum(is_relay(node) for node in nodes.values()) == 1, "one relay")
+    relay = next(name for name, node in nodes.items() if is_relay(node))
     expected = count - 1
     await until(lambda: nodes[relay].gauge("followers") == expected, "the others follow it")
     return relay, [name for name in nodes if name != relay]
 
 
-async def test_the_others_of_a_zone_learn_of_changes_without_reading_the_store(site):
-    relay, others = await zone_of(site, 3)
-    # Watches that were under way when the relay was found end.
+async def test_followers_receive_changes_without_reading_the_store(site):
+    relay, others = await start_zone(site, 3)
+    # Wait for the watches that were started before the relay was elected.
     await asyncio.sleep(1.2)
     site.store.calls.clear()
     await asyncio.sleep(2.0)
-    # One watcher asks anew after 0.6 s; three would ask three times as often.
+    # A watch takes 0.6 s, so three readers would exceed the limit.
     assert 1 <= site.store.calls.count(WATCH) <= 4
     site.configure(configuration(9, keys=["key-2"]))
     for name in others:
@@ -45,8 +45,8 @@
         assert (await site.ask("/plain/", f"new-{name}", name, key="key-2")).status == 200
 
 
-async def test_a_lost_relay_leaves_the_others_current_and_one_takes_its_place(site):
-    relay, others = await zone_of(site, 3)
+async def test_lost_relay_is_replaced_while_the_other_nodes_stay_ready(site):
+    relay, others = await start_zone(site, 3)
     lost = site.nodes.pop(relay)
     await lost.stop()
     site.configure(configuration(9, keys=["key-2"]))
@@ -57,8 +57,8 @@
         assert site.nodes[name].is_ready()
 
 
-async def test_a_follower_cut_from_the_store_goes_on_by_its_relay(site):
-    relay, others = await zone_of(site, 2)
+async def test_follower_cut_off_from_the_store_stays_current_through_its_relay(site):
+    relay, others = await start_zone(site, 2)
     follower = site.nodes[others[0]]
     site.cut_from_store(others[0])
     site.configure(configuration(9, keys=["key-2"]))
@@ -68,24 +68,26 @@
     assert (await site.ask("/plain/", "r1", others[0], key="key-2")).status == 200
 
 
-async def test_a_relay_cut_from_the_store_is_not_believed(site):
-    relay, others = await zone_of(site, 2)
+async def test_follower_reads_the_store_when_its_relay_is_cut_off(site):
+    relay, others = await start_zone(site, 2)
     site.cut_from_store(relay)
     site.store.server.reset_all()
     await asyncio.sleep(0.5)
     site.configure(configuration(9, keys=["key-2"]))
     follower = site.nodes[others[0]]
-    await until(lambda: follower.configuration_version() == 9, "the follower looks itself")
-    # And by it the cut node learns, too.
-    await until(lambda: site.nodes[relay].configuration_version() == 9, "told by the other")
+    await until(lambda: follower.configuration_version() == 9, "configuration from the store")
+    # The relay receives the change from its follower.
+    await until(
+        lambda: site.nodes[relay].configuration_version() == 9, "configuration from the follower"
+    )
 
 
-async def test_a_node_that_starts_beside_a_silent_store_learns_from_a_peer(site):
-    relay, _ = await zone_of(site, 2)
+async def test_node_started_while_the_store_is_silent_reads_from_a_peer(site):
+    relay, _ = await start_zone(site, 2)
     site.store.server.silent = True
     seed = site.nodes[relay].settings.node.peers
     late = await site.add_node("late", peers=f"127.0.0.1:{free_port()}", seeds=[seed])
     await until(lambda: late.configuration_version() == 1, "configuration from a peer")
     assert "i-1" in late.known_workers()
-    # Never more current than what the peer knew.
+    # The view is not considered newer than that of the peer.
     assert late.view_age() >= site.nodes[relay].view_age() - 0.1
--- a/tests/probe/forwarding/test_weights.py
+++ b/tests/probe/forwarding/test_weights.py
@@ -1,4 +1,4 @@
-"""Weights are brought to all workers in time, by one holder, each order fenced."""
+"""Rollout of weights to all workers in time, by a single holder with fenced orders."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from standins.platform_worker import PlatformWorker, WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 
-QUICK = {
+SHORT_BOUNDS = {
     "holder_lease_ms": 400,
     "thaw_slack_ms": 50,
     "weights_deadline_ms": 2500,
@@ -22,7 +22,7 @@
     for worker in fleet:
         await site.add_worker(worker, "engines")
     for name in nodes:
-        await site.add_node(name, **(QUICK | bounds))
+        await site.add_node(name, **(SHORT_BOUNDS | bounds))
     for name in nodes:
         await site.ready(name)
     return fleet
@@ -32,7 +32,7 @@
     return [order for worker in fleet for order in worker.orders]
 
 
-async def test_every_worker_gets_the_newest_version_once(site):
+async def test_each_worker_is_ordered_to_load_the_newest_version_once(site):
     fleet = await fleet_site(site)
     await asyncio.sleep(1.2)
     site.name_weights("m", 2)
@@ -48,15 +48,15 @@
         worker.load_seconds = 0.3
     await asyncio.sleep(1.2)
     site.name_weights("m", 2)
-    most = 0
+    max_loading = 0
     while not all(worker.version == 2 for worker in fleet):
-        most = max(most, sum(worker.busy for worker in fleet))
-        answer = await site.ask("/stream/x", "r", **PROMPT)
-        assert answer.status == 200
-    assert 1 <= most < len(fleet)
+        max_loading = max(max_loading, sum(worker.busy for worker in fleet))
+        response = await site.ask("/stream/x", "r", **PROMPT)
+        assert response.status == 200
+    assert 1 <= max_loading < len(fleet)
 
 
-async def test_an_order_without_an_answer_is_not_given_twice_to_effect(site):
+async def test_repeated_order_after_a_lost_response_takes_effect_once(site):
     fleet = await fleet_site(site)
     fleet[0].faults = WorkerFaults(ignore_orders=1)
     await asyncio.sleep(1.2)
@@ -65,7 +65,7 @@
     assert [worker.sequence for worker in fleet] == [1] * 4
 
 
-async def test_a_fenced_holder_orders_again_only_with_a_new_token(site):
+async def test_fenced_holder_sends_orders_only_with_a_new_token(site):
     fleet = await fleet_site(site, workers=1)
     await asyncio.sleep(1.2)
     fleet[0].highest_fence = site.model.revision + 4
@@ -76,7 +76,7 @@
     assert orders(fleet)[-1]["fence"] > max(refused)
 
 
-async def test_no_request_begins_on_older_weights_after_the_bound(site):
+async def test_no_request_starts_on_older_weights_after_the_deadline(site):
     fleet = await fleet_site(site, workers=1)
     fleet[0].faults = WorkerFaults(ignore_orders=10_000)
     fleet[0].busy = True
@@ -85,11 +85,11 @@
     await asyncio.sleep(1.7)
     fleet[0].busy = False
     fleet[0].sequence = 7
-    answer = await site.ask("/stream/x", "late", **PROMPT)
-    assert answer.status == 503 or fleet[0].version == 2
+    response = await site.ask("/stream/x", "late", **PROMPT)
+    assert response.status == 503 or fleet[0].version == 2
 
 
-async def test_a_holder_that_stops_hands_over_and_the_token_rises(site):
+async def test_stopped_holder_is_replaced_with_a_higher_token(site):
     fleet = await fleet_site(site, nodes=("n1", "n2"))
     holder_key = "wheelslip/holder"
     await until(lambda: holder_key in site.model.items, "a holder")
@@ -109,21 +109,21 @@
     assert {order["holder"].partition("/")[0] for order in orders(fleet)} == ({"n1", "n2"} - {name})
 
 
-async def test_a_holder_without_the_store_gives_no_orders(site):
+async def test_holder_without_store_access_sends_no_orders(site):
     fleet = await fleet_site(site)
     await until(lambda: "wheelslip/holder" in site.model.items, "a holder")
     site.name_weights("m", 2)
     site.store.refuse = 503
     site.store.server.reset_all()
     await asyncio.sleep(0.6)
-    given = len(orders(fleet))
+    orders_before = len(orders(fleet))
     await asyncio.sleep(2.0)
-    assert len(orders(fleet)) == given
+    assert len(orders(fleet)) == orders_before
     site.store.refuse = 0
     await until(lambda: all(worker.version == 2 for worker in fleet), "all have version 2")
 
 
-async def test_a_holders_lost_answer_leaves_one_holder(site):
+async def test_lost_store_response_leaves_a_single_holder(site):
     site.store.lose_answers = 1
     fleet = await fleet_site(site)
     await asyncio.sleep(1.2)
@@ -132,22 +132,22 @@
     assert len({order["fence"] for order in orders(fleet)}) == 1
 
 
-async def test_a_request_that_waits_past_the_bound_is_taken_back(site):
+async def test_request_queued_past_the_deadline_is_withdrawn(site):
     fleet = await fleet_site(site, workers=1)
     fleet[0].faults = WorkerFaults(ignore_orders=10_000)
     fleet[0].seconds = 30
     await asyncio.sleep(1.2)
     site.name_weights("m", 2)
-    answer = await site.ask("/stream/x", "waits", **PROMPT)
-    assert answer.status in (502, 503)
+    response = await site.ask("/stream/x", "waits", **PROMPT)
+    assert response.status in (502, 503)
     (run,) = site.runs("waits")
-    await until(lambda: run.closed_early, "taken back from the worker")
+    await until(lambda: run.closed_early, "withdrawn from the worker")
 
 
-async def test_a_new_holder_waits_for_the_last_order_of_another_only(site):
+async def test_first_holder_orders_without_handover_delay(site):
     fleet = await fleet_site(site, holder_lease_ms=1500)
     await until(lambda: "wheelslip/holder" in site.model.items, "a holder")
-    # Nobody has given an order yet: the first holder acts at once.
+    # No holder has sent an order before.
     site.name_weights("m", 2)
     await until(lambda: orders(fleet), "an order")
     record = json.loads(site.model.items["wheelslip/rollout"].value)
@@ -155,12 +155,12 @@
     assert record["loading"]
 
 
-async def test_a_record_that_is_written_late_does_not_undo_a_newer_one(site):
+async def test_delayed_record_write_does_not_replace_a_newer_record(site):
     fleet = await fleet_site(site)
     await asyncio.sleep(1.2)
     site.name_weights("m", 2)
     await until(lambda: all(worker.version == 2 for worker in fleet), "all have version 2")
-    late = {
+    delayed_write = {
         "expected_rev": [
             {"tls_key": key, "revision": site.model.items[key].revision}
             for key in ("wheelslip/holder", "wheelslip/rollout")
@@ -169,10 +169,10 @@
     }
     site.name_weights("m", 3)
     await until(lambda: all(worker.version == 3 for worker in fleet), "all have version 3")
-    assert site.model.transact(late)[0] == 412
+    assert site.model.transact(delayed_write)[0] == 412
 
 
-async def test_a_version_named_during_a_load_follows_it_at_once(site):
+async def test_version_named_during_a_load_is_ordered_right_after_it(site):
     fleet = await fleet_site(site, workers=1, weights_deadline_ms=8000)
     fleet[0].load_seconds = 2.7
     await asyncio.sleep(1.2)
@@ -181,16 +181,16 @@
     site.name_weights("m", 3)
     await until(lambda: fleet[0].version == 2, "version 2 is loaded")
     await until(lambda: len(orders(fleet)) > 1, "the next order")
-    # Its bound is seconds away, but answers on version 2 are worth less until then.
+    # Version 3 is ordered although its deadline is seconds away.
     assert [order["version"] for order in orders(fleet)] == [2, 3]
     await until(lambda: fleet[0].version == 3, "version 3")
     assert [order["version"] for order in orders(fleet)] == [2, 3]
 
 
-async def test_a_silent_worker_does_not_hold_the_others_up(site):
+async def test_unresponsive_worker_does_not_delay_the_others(site):
     fleet = await fleet_site(site, weights_deadline_ms=60_000)
     await asyncio.sleep(1.2)
-    # It has nothing to do, so it is the first in turn, and one worker loads at a time.
+    # The idle worker comes first, and one worker loads at a time.
     fleet[0].server.silent = True
     site.name_weights("m", 2)
     await until(lambda: all(worker.version == 2 for worker in fleet[1:]), "the others load")
--- a/tests/unit/forwarding/test_feed.py
+++ b/tests/unit/forwarding/test_feed.py
@@ -1,4 +1,4 @@
-"""How current a view is that another node passed on, by clocks that do not agree."""
+"""Age and content of a view that is received from another node."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
         return self.now
 
 
-def view(clock: Clock) -> Registry:
+def empty_registry(clock: Clock) -> Registry:
     return Registry(PlatformRegistry(), BoundsSection, clock)
 
 
@@ -32,27 +32,27 @@
 
 
 def follower(clock: Clock) -> tuple[Registry, RegistrySync]:
-    registry = view(clock)
+    registry = empty_registry(clock)
     return registry, RegistrySync(None, registry, clock, None)
 
 
-def test_a_late_answer_claims_no_more_than_was_known_when_it_was_asked_for():
+def test_delayed_response_counts_from_when_the_poll_was_sent():
     relay_clock, own_clock = Clock(5000.0), Clock(10.0)
-    relay = view(relay_clock)
+    relay = empty_registry(relay_clock)
     relay.apply("wheelslip/x", b"1", 3)
     relay.confirm(4999.0)
     batch = asyncio.run(server(relay, relay_clock).answer(FeedPoll(0)))
-    assert batch.confirmed == -1.0
+    assert batch.confirmed_offset == -1.0
     registry, sync = follower(own_clock)
     sent_at = own_clock.now
-    # The answer is held up on its way for five seconds.
+    # The response is delayed by five seconds.
     own_clock.now += 5.0
     sync._take(batch, sent_at)
     assert registry.age() == pytest.approx(6.0)
     assert registry.own_entry("wheelslip/x") == (b"1", 3)
 
 
-def test_a_view_confirmed_while_the_poll_waited_counts_from_then():
+def test_confirmation_during_the_poll_determines_the_view_age():
     clock = Clock(100.0)
     registry, sync = follower(clock)
     sync._take(FeedBatch(7, False, [], 0.4, None), sent_at=99.0)
@@ -60,7 +60,7 @@
     assert registry.log.at == 7
 
 
-def test_what_is_missing_in_a_whole_listing_has_gone():
+def test_keys_missing_from_a_snapshot_are_removed():
     clock = Clock(100.0)
     registry, sync = follower(clock)
     registry.apply("wheelslip/x", b"1", 3)
@@ -70,7 +70,7 @@
 
 
 class AnsweringStore:
-    """Answers each watch with nothing new."""
+    """Answers each watch without changes."""
 
     def __init__(self):
         self.watches = 0
@@ -81,7 +81,7 @@
 
 
 class ScriptedFeed:
-    """Plays one batch a poll."""
+    """Returns the next of the given batches for each poll."""
 
     def __init__(self, *batches):
         self.batches = list(batches)
@@ -90,27 +90,27 @@
         return self.batches.pop(0)
 
 
-def test_a_relays_trouble_with_the_store_is_not_the_followers():
+def test_failed_calls_of_a_relay_are_no_outage_for_its_followers():
     clock = Clock(100.0)
     registry, sync = follower(clock)
     sync._take(FeedBatch(9, False, [], 0.0, 0.5), sent_at=99.0)
     assert registry.health.trouble_at is None
 
 
-def test_a_follower_of_a_relay_that_fails_looks_at_the_store_itself():
+def test_follower_of_a_failing_relay_probes_the_store():
     clock = Clock(100.0)
-    store, registry = AnsweringStore(), view(clock)
+    store, registry = AnsweringStore(), empty_registry(clock)
     sync = RegistrySync(store, registry, clock, random.Random(1))
     sync._advance(9)
     for failing_age, watches in ((None, 0), (0.5, 1)):
         sync._feed = ScriptedFeed(FeedBatch(9, False, [], -0.2, failing_age))
         asyncio.run(sync._follow("relay:1"))
         assert store.watches == watches
-    # It has been answered itself, and says so to the relay that asks it.
+    # The probe was answered, so the view is confirmed.
     assert registry.age() == 0.0
 
 
-def test_an_older_answer_does_not_take_a_newer_view_back():
+def test_older_response_does_not_replace_a_newer_view():
     clock = Clock(100.0)
     registry, sync = follower(clock)
     registry.apply("wheelslip/x", b"new", 12)
--- a/tests/unit/forwarding/test_holder.py
+++ b/tests/unit/forwarding/test_holder.py
@@ -1,4 +1,4 @@
-"""The holder's lease by its own clock: when orders may be given."""
+"""Validity of the holder lease on the clock of its holder."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class GrantingStore:
-    """Grants one lease and takes its key at revision 7."""
+    """Grants a lease and accepts its key at revision 7."""
 
     async def grant_lease(self, seconds):
         return 1
@@ -40,7 +40,7 @@
     return Clock()
 
 
-def gained(clock) -> HolderLease:
+def acquired_lease(clock) -> HolderLease:
     registry = Registry(PlatformRegistry(), lambda: BOUNDS, clock)
     lease = HolderLease(
         GrantingStore(),
@@ -51,16 +51,16 @@
         clock,
         random.Random(1),
     )
-    asyncio.run(lease._gain())
+    asyncio.run(lease._acquire())
     return lease
 
 
-def test_the_token_is_the_revision_of_the_key(clock):
-    assert gained(clock).token() == 7
+def test_token_is_the_revision_of_the_key(clock):
+    assert acquired_lease(clock).token() == 7
 
 
-def test_a_holder_that_slept_past_its_lease_gives_no_order(clock):
-    lease = gained(clock)
-    # Frozen: nothing ran meanwhile that could have noticed.
+def test_token_expires_while_the_holder_is_suspended(clock):
+    lease = acquired_lease(clock)
+    # No task of the holder runs in the meantime.
     clock.now += 30
     assert lease.token() is None
--- a/tests/unit/forwarding/test_lost_renewal.py
+++ b/tests/unit/forwarding/test_lost_renewal.py
@@ -1,9 +1,4 @@
-"""One renewal of a lease gets no answer, and the store answers the next.
-
-A call of the store waits 1.5 s for its answer, and after a failure the next renewal came a whole pause later.
-The lease of the node that gives orders lasts 1.5 s, a relay's 3.0 s, so one lost answer ended either though
-nothing else was wrong: lease_lost reason=lapsed, and the next holder waits before it orders.
-"""
+"""A lease must survive a renewal that is answered late or never."""
 
 import asyncio
 import random
@@ -21,20 +16,23 @@
 from wheelslip.platform.store import CALL_SECONDS
 
 BOUNDS = BoundsSection()
-ANSWER_SECONDS = 0.7
-"""Of a slow store: a holder's renewals are 0.5 s apart."""
+RESPONSE_SECONDS = 0.7
+"""Response time of the slow store, longer than the 0.5 s between a holder's renewals."""
+
+MIN_SLOW_RENEWALS = 5
+RENEWALS_AFTER_LOSS = 2
+"""Number of renewals after the lost one that show that the lease is still held."""
 
-ENOUGH_RENEWALS = 5
-ANSWERED_AFTERWARDS = 2
-"""So many renewals after the lost one prove that the lease was kept."""
 
+class LossyStore:
+    """Grants one lease, and does not answer its second renewal.
 
-class ForgetfulStore:
-    """Grants one lease, and does not answer its second renewal."""
+    :ivar renewed: set when enough renewals were answered.
+    """
 
     def __init__(self):
         self.renewals = 0
-        self.kept = asyncio.Event()
+        self.renewed = asyncio.Event()
 
     async def grant_lease(self, seconds):
         return 1
@@ -47,8 +45,8 @@
         if self.renewals == 2:
             await asyncio.sleep(CALL_SECONDS)
             raise KeyValueOutcomeUnknown("no answer")
-        if self.renewals == 2 + ANSWERED_AFTERWARDS:
-            self.kept.set()
+        if self.renewals == 2 + RENEWALS_AFTER_LOSS:
+            self.renewed.set()
         return True
 
     async def end_lease(self, lease):
@@ -72,45 +70,45 @@
     )
 
 
-async def tokens_until_kept(make, store) -> set[int | None]:
-    """Return what the holder's token was, from its first until the store says that it was kept."""
-    lease = make(store, Registry(PlatformRegistry(), lambda: BOUNDS, time.monotonic))
-    await lease._gain()
+async def tokens_until_renewed(make_lease, store) -> set[int | None]:
+    """Return all values of the token until the store has answered enough renewals."""
+    lease = make_lease(store, Registry(PlatformRegistry(), lambda: BOUNDS, time.monotonic))
+    await lease._acquire()
     running = asyncio.create_task(lease.run())
     tokens = set()
-    while not store.kept.is_set():
+    while not store.renewed.is_set():
         tokens.add(lease.token())
         await asyncio.sleep(0.01)
     running.cancel()
     return tokens
 
 
-@pytest.mark.parametrize("make", [holder, relay])
-def test_a_renewal_that_gets_no_answer_does_not_end_a_lease(make):
-    async def play():
+@pytest.mark.parametrize("make_lease", [holder, relay])
+def test_lease_survives_one_unanswered_renewal(make_lease):
+    async def run_lease():
         async with asyncio.timeout(4 * LEASE_SECONDS):
-            return await tokens_until_kept(make, ForgetfulStore())
+            return await tokens_until_renewed(make_lease, LossyStore())
 
-    assert asyncio.run(play()) == {7}
+    assert asyncio.run(run_lease()) == {7}
 
 
-class SlowStore(ForgetfulStore):
-    """Answers each renewal later than the next is due, and grants at once."""
+class SlowStore(LossyStore):
+    """Answers each renewal only after the next one is due."""
 
     async def keep_lease(self, lease):
         self.renewals += 1
         number = self.renewals
-        await asyncio.sleep(ANSWER_SECONDS)
-        if number >= ENOUGH_RENEWALS:
-            self.kept.set()
+        await asyncio.sleep(RESPONSE_SECONDS)
+        if number >= MIN_SLOW_RENEWALS:
+            self.renewed.set()
         return True
 
 
-def test_a_store_that_answers_late_does_not_end_a_lease():
-    """The pause to the next renewal counted from the answer, so each came after the lease was over."""
+def test_lease_survives_late_renewal_responses():
+    """The time of the next renewal must count from the sending of the previous one."""
 
-    async def play():
+    async def run_lease():
         async with asyncio.timeout(4 * LEASE_SECONDS):
-            return await tokens_until_kept(holder, SlowStore())
+            return await tokens_until_renewed(holder, SlowStore())
 
-    assert asyncio.run(play()) == {7}
+    assert asyncio.run(run_lease()) == {7}
--- a/tests/unit/forwarding/test_rollout_record.py
+++ b/tests/unit/forwarding/test_rollout_record.py
@@ -1,4 +1,4 @@
-"""What a node learns from the holders' records: when a worker was last ordered."""
+"""Upper bound on the time of the last order to a worker, derived from the holders' records."""
 
 import msgspec
 import pytest
@@ -12,8 +12,8 @@
 NEVER = float("-inf")
 
 
-class OwnEntries(Registry):
-    """A registry whose own entries are set by hand."""
+class StubRegistry(Registry):
+    """Registry whose system entries are set directly."""
 
     def __init__(self, clock):
         super().__init__(PlatformRegistry(), lambda: BOUNDS, clock)
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def registry(clock):
-    return OwnEntries(clock)
+    return StubRegistry(clock)
 
 
 @pytest.fixture
@@ -38,49 +38,49 @@
     return RolloutView(registry, clock)
 
 
-def hold(registry, view, token):
+def set_holder(registry, view, token):
     registry.entries[HOLDER_KEY] = (b"n1/1", token) if token else None
     view.entry_changed(HOLDER_KEY)
 
 
-def write(registry, view, record):
+def write_record(registry, view, record):
     registry.entries[ROLLOUT_KEY] = (msgspec.json.encode(record), 1)
     view.entry_changed(ROLLOUT_KEY)
 
 
-def test_a_living_holder_may_order_until_now(registry, view, clock):
-    hold(registry, view, 7)
-    write(registry, view, RolloutRecord(7, ["i-1"]))
+def test_current_holder_may_have_ordered_until_now(registry, view, clock):
+    set_holder(registry, view, 7)
+    write_record(registry, view, RolloutRecord(7, ["i-1"]))
     clock.now += 5
-    assert view.last_order("i-1") == clock.now
-    assert view.last_order("i-2") == NEVER
+    assert view.latest_order_time("i-1") == clock.now
+    assert view.latest_order_time("i-2") == NEVER
 
 
-def test_a_lost_holder_has_ordered_until_its_key_was_gone(registry, view, clock):
-    hold(registry, view, 7)
-    write(registry, view, RolloutRecord(7, ["i-1"]))
+def test_lost_holder_may_have_ordered_until_its_key_was_removed(registry, view, clock):
+    set_holder(registry, view, 7)
+    write_record(registry, view, RolloutRecord(7, ["i-1"]))
     clock.now += 5
-    hold(registry, view, 0)
-    gone_at = clock.now
+    set_holder(registry, view, 0)
+    removed_at = clock.now
     clock.now += 5
-    hold(registry, view, 9)
-    assert view.last_order("i-1") == gone_at
+    set_holder(registry, view, 9)
+    assert view.latest_order_time("i-1") == removed_at
 
 
-def test_a_worker_that_has_loaded_was_ordered_before_the_record_said_so(registry, view, clock):
-    hold(registry, view, 7)
-    write(registry, view, RolloutRecord(7, ["i-1"]))
+def test_loaded_worker_was_ordered_before_its_record_was_seen(registry, view, clock):
+    set_holder(registry, view, 7)
+    write_record(registry, view, RolloutRecord(7, ["i-1"]))
     clock.now += 5
-    write(registry, view, RolloutRecord(7, [], recent=["i-1"]))
+    write_record(registry, view, RolloutRecord(7, [], recent=["i-1"]))
     written_at = clock.now
     clock.now += 5
-    hold(registry, view, 0)
-    assert view.last_order("i-1") == written_at
+    set_holder(registry, view, 0)
+    assert view.latest_order_time("i-1") == written_at
 
 
-def test_a_node_that_has_just_started_takes_the_latest_time_that_may_be(registry, view, clock):
-    hold(registry, view, 9)
-    write(registry, view, RolloutRecord(7, ["i-1"], recent=["i-2"]))
+def test_unseen_former_holder_may_have_ordered_until_its_record_was_seen(registry, view, clock):
+    set_holder(registry, view, 9)
+    write_record(registry, view, RolloutRecord(7, ["i-1"], recent=["i-2"]))
     seen_at = clock.now
     clock.now += 5
-    assert view.last_order("i-1") == view.last_order("i-2") == seen_at
+    assert view.latest_order_time("i-1") == view.latest_order_time("i-2") == seen_at
--- a/tests/unit/forwarding/test_silent_peers.py
+++ b/tests/unit/forwarding/test_silent_peers.py
@@ -1,9 +1,4 @@
-"""A node whose call of the store was reset asks other nodes, and those are silent.
-
-The store answers when it is asked again, and nothing has struck this node. It asked up to three peers, one
-after the other and each for 1.0 s, before it looked again: 3.88 to 3.98 s after the call before, in which
-it knew of no worker that left, where 2.0 s are allowed.
-"""
+"""Polls of unresponsive peers after a failed store call must not delay the next call."""
 
 import asyncio
 import random
@@ -19,29 +14,29 @@
 from wheelslip.platform.registry import PlatformRegistry
 from wheelslip.wire import decode_payload, encode_frame, split_frame
 
-SEEDS_THAT_ASK_THREE = (5, 6, 10)
+SEEDS_POLLING_THREE_PEERS = (5, 6, 10)
 DRAIN_SECONDS = BoundsSection().worker_drain_ms / 1000
 
 
 class ResettingStore:
-    """Resets one watch at the end of its wait, and answers the others."""
+    """Resets the first watch at the end of its wait, and answers the others."""
 
     def __init__(self):
-        self.begun_at = []
-        self.answered = asyncio.Event()
+        self.started_at = []
+        self.called_again = asyncio.Event()
 
     async def watch(self, prefix, after, wait_seconds):
-        self.begun_at.append(time.monotonic())
-        if len(self.begun_at) > 1:
-            self.answered.set()
+        self.started_at.append(time.monotonic())
+        if len(self.started_at) > 1:
+            self.called_again.set()
         await asyncio.sleep(wait_seconds)
-        if len(self.begun_at) > 1:
+        if len(self.started_at) > 1:
             return WatchBatch(after)
         raise KeyValueUnavailable("reset")
 
 
-class OnlyRelay:
-    """This node reads the store itself."""
+class StoreReader:
+    """Relay lease of a node that reads the store itself."""
 
     def token(self):
         return 1
@@ -50,47 +45,47 @@
         return None
 
 
-async def seconds_until_the_next_call(seed: int) -> float:
+async def seconds_until_next_call(seed: int) -> float:
     silent = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     address = "{}:{}".format(*silent.sockets[0].getsockname())
     registry = Registry(PlatformRegistry(), BoundsSection, time.monotonic)
     store = ResettingStore()
     sync = RegistrySync(
-        store, registry, time.monotonic, random.Random(seed), OnlyRelay(), lambda: [address]
+        store, registry, time.monotonic, random.Random(seed), StoreReader(), lambda: [address]
     )
     sync._advance(5)
     registry.confirm(time.monotonic())
     running = asyncio.create_task(sync.run())
-    await store.answered.wait()
+    await store.called_again.wait()
     running.cancel()
     silent.close()
-    return store.begun_at[1] - store.begun_at[0]
+    return store.started_at[1] - store.started_at[0]
 
 
-@pytest.mark.parametrize("seed", SEEDS_THAT_ASK_THREE)
-def test_silent_peers_do_not_keep_a_node_from_a_store_that_answers(seed):
-    assert asyncio.run(seconds_until_the_next_call(seed)) < DRAIN_SECONDS
+@pytest.mark.parametrize("seed", SEEDS_POLLING_THREE_PEERS)
+def test_unresponsive_peers_do_not_delay_the_next_store_call(seed):
+    assert asyncio.run(seconds_until_next_call(seed)) < DRAIN_SECONDS
 
 
-async def answer_after_one_given_up() -> FeedBatch:
-    asked, may_answer = asyncio.Event(), asyncio.Event()
+async def response_after_cancelled_poll() -> FeedBatch:
+    poll_received, may_answer = asyncio.Event(), asyncio.Event()
 
     async def answer_late(reader, writer):
         buffer = b""
         while data := await reader.read(1024):
             payload, buffer = split_frame(buffer + data)
             poll = decode_payload(payload, FeedPoll)
-            asked.set()
+            poll_received.set()
             await may_answer.wait()
             writer.write(encode_frame(FeedBatch(poll.after, False, [], 0.0, None)))
 
     server = await asyncio.start_server(answer_late, "127.0.0.1", 0)
     address = "{}:{}".format(*server.sockets[0].getsockname())
     client = FeedClient()
-    given_up = asyncio.create_task(client.poll(address, FeedPoll(5)))
-    await asked.wait()
-    given_up.cancel()
-    await asyncio.wait({given_up})
+    cancelled = asyncio.create_task(client.poll(address, FeedPoll(5)))
+    await poll_received.wait()
+    cancelled.cancel()
+    await asyncio.wait({cancelled})
     may_answer.set()
     try:
         return await client.poll(address, FeedPoll(8))
@@ -99,5 +94,5 @@
         server.close()
 
 
-def test_the_answer_to_a_poll_that_was_given_up_is_not_that_of_the_next():
-    assert asyncio.run(answer_after_one_given_up()).at == 8
+def test_response_to_a_cancelled_poll_is_not_returned_by_the_next():
+    assert asyncio.run(response_after_cancelled_poll()).revision == 8
