--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -408,7 +408,7 @@
         "forwarding/attempt.py",
         "        if remaining <= 0:",
         "        if False:",
-        "forwarding/test_weights.py::test_a_request_that_waits_past_the_bound_is_taken_back",
+        "forwarding/test_weights.py::test_request_queued_past_the_deadline_is_withdrawn",
     ),
     _one(
         "wall not in the salt",
@@ -440,15 +440,15 @@
         "forwarding/leased_key.py",
         "if self._token and self._clock() < self._valid_until:",
         "if self._token:",
-        "../unit/forwarding/test_holder.py::test_a_holder_that_slept_past_its_lease_gives_no_order",
+        "../unit/forwarding/test_holder.py::test_token_expires_while_the_holder_is_suspended",
     ),
     _one(
         "a new holder orders at once where the last one has ordered",
         FORWARDING,
         "forwarding/rollout.py",
-        'return self._clock() >= self._orders_from.get(worker_id, float("-inf"))',
+        'return self._clock() >= self._order_allowed_at.get(worker_id, float("-inf"))',
         "return True",
-        "forwarding/test_holder_faults.py::test_a_new_holder_waits_at_a_worker_that_the_last_one_has_ordered",
+        "forwarding/test_holder_faults.py::test_new_holder_waits_for_workers_ordered_by_the_last_one",
     ),
     _one(
         "crashes told to nobody",
@@ -537,7 +537,7 @@
         "while not await self._has_ended(poll):\n                await self._look()\n",
         "await asyncio.wait({poll})\n",
         "forwarding/test_reader_cut_then_silent.py"
-        "::test_two_troubles_in_a_row_are_noticed_in_the_time_of_one",
+        "::test_removal_is_detected_in_time_when_store_link_and_feed_fail",
     ),
     _one(
         "silent peers are asked however long it takes",
@@ -546,16 +546,15 @@
         "async with asyncio.timeout(ASKING_SECONDS):",
         "async with asyncio.timeout(None):",
         "../unit/forwarding/test_silent_peers.py"
-        "::test_silent_peers_do_not_keep_a_node_from_a_store_that_answers",
+        "::test_unresponsive_peers_do_not_delay_the_next_store_call",
     ),
     _one(
         "one renewal that gets no answer ends a lease",
         FORWARDING,
         "forwarding/leased_key.py",
-        "for timeout in (patience_seconds, None):",
+        "for timeout in (retry_after_seconds, None):",
         "for timeout in (None,):",
-        "../unit/forwarding/test_lost_renewal.py"
-        "::test_a_renewal_that_gets_no_answer_does_not_end_a_lease",
+        "../unit/forwarding/test_lost_renewal.py::test_lease_survives_one_unanswered_renewal",
     ),
     _one(
         "after a rest the number doubles with each request served",
--- a/src/wheelslip/forwarding/limit_meter.py
+++ b/src/wheelslip/forwarding/limit_meter.py
@@ -50,7 +50,10 @@
         if relay is None:
             return WholeAuthority(self._clock)
         return VotedAuthority(
-            self._address, relay.by_tenure, lambda: self._bounds().limit_overage, self._clock
+            self._address,
+            relay.addresses_by_tenure,
+            lambda: self._bounds().limit_overage,
+            self._clock,
         )
 
     def _make_votes(
@@ -61,7 +64,7 @@
             datagrams,
             self.authority,
             self.limits,
-            relay.by_tenure,
+            relay.addresses_by_tenure,
             health.answers,
             lambda: bool(self._in_force()) or self._registry.limits.count() > 0,
             self._clock,
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -122,8 +122,8 @@
             self._datagrams,
             notices.limits,
             notices.take_report,
-            lambda: self._relay.by_tenure() if self._relay else [],
-            self._feed.heard,
+            lambda: self._relay.addresses_by_tenure() if self._relay else [],
+            self._feed.recent_followers,
         )
         notices.report_limit = self._limit_reports.announce
         self._dispatch_link = DispatchLink(
@@ -254,7 +254,7 @@
 
     def known_relays(self) -> list[str]:
         """Return the addresses of the relays in view."""
-        return self._relay.by_tenure()
+        return self._relay.addresses_by_tenure()
 
     def refuses_new(self) -> bool:
         """Whether the stop has come so far that new requests are refused."""
@@ -287,14 +287,18 @@
         )
 
     def _other_relays(self) -> list[str]:
-        return self._relay.other_zones() if self._relay is not None else []
+        return self._relay.other_zone_addresses() if self._relay is not None else []
 
     def _is_relay(self) -> bool:
         return self._relay is None or self._relay.token() is not None
 
     def _peer_addresses(self) -> list[str]:
         section = self.settings.node
-        others = {*section.seed_addresses(), *self._relay.addresses(), *self._feed.heard()}
+        others = {
+            *section.seed_addresses(),
+            *self._relay.other_addresses(),
+            *self._feed.recent_followers(),
+        }
         return sorted(others - {section.peers})
 
     def _make_metrics(self) -> ForwardingMetrics:
@@ -411,9 +415,9 @@
         log_event(LogEvent.NODE_STOPPED)
 
     async def _give_up_keys(self) -> None:
-        await self._lease.give_up()
+        await self._lease.stop()
         if self._relay is not None:
-            await self._relay.give_up()
+            await self._relay.stop()
             self._meter.release()
 
     def reload(self) -> None:
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from wheelslip.events import LogEvent, log_event
-from wheelslip.forwarding.feed import FeedBatch, FeedClient, FeedLost, FeedPoll
+from wheelslip.forwarding.feed import FeedBatch, FeedClient, FeedPoll, FeedUnavailable
 from wheelslip.forwarding.interface import KeyValueStore
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.relay import RelayLease
@@ -205,7 +205,7 @@
             while not await self._has_ended(poll):
                 await self._look()
             poll.result()
-        except FeedLost as exc:
+        except FeedUnavailable as exc:
             self._relay_silent_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
             log_event(LogEvent.RELAY_LOST, relay=address, reason=str(exc))
             return
@@ -252,7 +252,7 @@
     async def _poll(self, address: str) -> None:
         """Poll the node that is followed, and exchange loads with it.
 
-        :raises FeedLost: when it does not tell.
+        :raises FeedUnavailable: when it does not tell.
         """
         # Relays tell each other the loads of their zones by datagrams; a poll would count
         # them twice.
@@ -272,7 +272,7 @@
         """Learn what another node knows of the store.
 
         :param client: has one poll under way at a time.
-        :raises FeedLost: when it does not tell.
+        :raises FeedUnavailable: when it does not tell.
         """
         sent_at = self._clock()
         saved = self._table.saved
@@ -284,14 +284,14 @@
 
     def _take(self, batch: FeedBatch, sent_at: float) -> None:
         self._source_fails = batch.failing_age is not None
-        if batch.whole:
+        if batch.is_snapshot:
             entries = {one.key: (one.value, one.revision) for one in batch.changes}
-            self._registry.replace_all(entries, batch.at)
+            self._registry.replace_all(entries, batch.revision)
         else:
             for one in batch.changes:
                 self._registry.apply(one.key, one.value, one.revision)
-        self._advance(batch.at)
-        self._registry.confirm(sent_at + batch.confirmed)
+        self._advance(batch.revision)
+        self._registry.confirm(sent_at + batch.confirmed_offset)
 
     async def _ask_peers(self) -> None:
         """Learn from any other nodes while the store does not answer.
@@ -308,7 +308,7 @@
     async def _ask_any_peer(self) -> None:
         addresses = self._peer_addresses() if self._relay is not None else []
         if addresses:
-            with contextlib.suppress(FeedLost):
+            with contextlib.suppress(FeedUnavailable):
                 await self._poll_view(self._asked, self._random.choice(addresses))
 
     def _note_source(self, address: str | None) -> None:
--- a/tests/unit/forwarding/test_load_table.py
+++ b/tests/unit/forwarding/test_load_table.py
@@ -3,7 +3,12 @@
 import asyncio
 import random
 
-from wheelslip.forwarding.relay_link import LOADS, PART_PROMPTS, PART_WORKERS, RelayLink
+from wheelslip.forwarding.relay_link import (
+    LOADS,
+    SAVED_PROMPTS_PER_REPORT,
+    WORKERS_PER_DATAGRAM,
+    RelayLink,
+)
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.routing.load_table import REPORT_TTL_SECONDS, LoadAtWorker, LoadTable, ZoneLoads
 from wheelslip.wire import encode_frame
@@ -98,10 +103,10 @@
 def test_zone_total_reaches_another_relay_in_datagrams_that_fit_a_packet():
     many = [
         LoadAtWorker(f"i-{number:010x}", 60, 400_000, 900_000)
-        for number in range(3 * PART_WORKERS - 5)
+        for number in range(3 * WORKERS_PER_DATAGRAM - 5)
     ]
     first, second = LoadTable(), LoadTable()
-    saved = [2**64 - 1 - number for number in range(2 * PART_PROMPTS)]
+    saved = [2**64 - 1 - number for number in range(2 * SAVED_PROMPTS_PER_REPORT)]
     first.saved.merge(saved, 10.0)
     sender, _ = link_of("z1", first, own=many)
     parts = sender._parts(first.zone_total(10.0, many), 10.0)
@@ -112,7 +117,9 @@
     assert receiver.refused == 2
     assert all(second.at_worker(load.worker, 10.0) == load for load in many)
     # Only the newest saved prompts are sent.
-    assert [key for key in saved if second.saved.has(key, 10.0)] == saved[-PART_PROMPTS:]
+    assert [key for key in saved if second.saved.has(key, 10.0)] == saved[
+        -SAVED_PROMPTS_PER_REPORT:
+    ]
     # Loads of the own zone arrive with polls, so datagrams from it are ignored.
     asyncio.run(receive(link_of("z1", first)[1], frames))
     assert first.at_worker(many[0].worker, 10.0).running == 0
@@ -121,11 +128,11 @@
 async def closed_link() -> DatagramSocket:
     link, socket = link_of("z1", LoadTable(), own=loads(), others=["127.0.0.1:9"])
     await socket.listen("127.0.0.1", 0)
-    link.tell()
+    link.send_report()
     sent = socket.bytes_sent
     socket.close()
     await asyncio.sleep(0.01)
-    link.tell()
+    link.send_report()
     assert socket.bytes_sent == sent
     return socket
 
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -85,5 +85,5 @@
     reader.read_all(6, "i-1", "i-2")
     follower.poll(reader)
     reader.read_all(9, "i-2")
-    assert not follower.poll(reader).whole
+    assert not follower.poll(reader).is_snapshot
     assert follower.in_use() == ["i-2"]
--- a/tests/unit/forwarding/test_view_histories.py
+++ b/tests/unit/forwarding/test_view_histories.py
@@ -214,7 +214,7 @@
         payload, _ = split_frame(encode_frame(other.server._batch(poll, changes, whole, 100.0)))
         batch = decode_payload(payload, FeedBatch)
         changes = [one.unpacked() for one in batch.changes]
-        node.sync._take(batch._replace(changes=changes, confirmed=0.0), 100.0)
+        node.sync._take(batch._replace(changes=changes, confirmed_offset=0.0), 100.0)
 
 
 KINDS = ("start", "drain", "late", "spoil", "leave", "watch", "poll", "list", "list behind")
