--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from wheelslip.events import LogEvent, log_event
-from wheelslip.forwarding.feed import FeedBatch, FeedClient, FeedLost, FeedPoll
+from wheelslip.forwarding.feed import FeedBatch, FeedClient, FeedPoll, FeedUnavailable
 from wheelslip.forwarding.interface import KeyValueStore
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.relay import RelayLease
@@ -198,7 +198,7 @@
             while not await self._poll_finished(poll):
                 await self._probe_store()
             poll.result()
-        except FeedLost as exc:
+        except FeedUnavailable as exc:
             self._relay_backoff_until = self._clock() + self._random.uniform(*RELAY_RETRY_SECONDS)
             log_event(LogEvent.RELAY_LOST, relay=address, reason=str(exc))
             return
@@ -245,7 +245,7 @@
     async def _poll(self, address: str) -> None:
         """Poll the followed node and exchange loads with it.
 
-        :raises FeedLost: when it does not answer.
+        :raises FeedUnavailable: when it does not answer.
         """
         # Relays exchange the loads of their zones by datagrams; polls would count them twice.
         if self._is_relay():
@@ -264,7 +264,7 @@
         """Apply the changes in another node's view and return its answer.
 
         :param client: client without a poll in flight.
-        :raises FeedLost: when the node does not answer.
+        :raises FeedUnavailable: when the node does not answer.
         """
         sent_at = self._clock()
         saved = self._table.saved
@@ -276,14 +276,14 @@
 
     def _apply_batch(self, batch: FeedBatch, sent_at: float) -> None:
         self._source_failing = batch.failing_age is not None
-        if batch.whole:
+        if batch.is_snapshot:
             entries = {change.key: (change.value, change.revision) for change in batch.changes}
-            self._registry.replace_all(entries, batch.at)
+            self._registry.replace_all(entries, batch.revision)
         else:
             for change in batch.changes:
                 self._registry.apply(change.key, change.value, change.revision)
-        self._advance(batch.at)
-        self._registry.confirm(sent_at + batch.confirmed)
+        self._advance(batch.revision)
+        self._registry.confirm(sent_at + batch.confirmed_offset)
 
     async def _poll_peers(self) -> None:
         """Poll random peers while the store does not answer.
@@ -300,7 +300,7 @@
     async def _poll_random_peer(self) -> None:
         addresses = self._peer_addresses() if self._relay is not None else []
         if addresses:
-            with contextlib.suppress(FeedLost):
+            with contextlib.suppress(FeedUnavailable):
                 await self._poll_view(self._peer_feed, self._random.choice(addresses))
 
     def _log_source(self, address: str | None) -> None:
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -78,5 +78,5 @@
     reader.read_all(6, "i-1", "i-2")
     follower.poll(reader)
     reader.read_all(9, "i-2")
-    assert not follower.poll(reader).whole
+    assert not follower.poll(reader).is_snapshot
     assert follower.in_use() == ["i-2"]
