--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -381,7 +381,7 @@
         "if stall.seconds() < STALL_SECONDS:",
         "if True:",
         "forwarding/test_stalled_process.py::"
-        "test_an_engine_that_leaves_while_the_process_stands_still_is_given_up_at_once",
+        "test_worker_that_departs_during_process_stall_is_removed_at_once",
     ),
     _one(
         "a view with a gap tells changes from inside it",
@@ -396,7 +396,7 @@
         "a single node's failed calls are trouble of the store",
         FORWARDING,
         "forwarding/store_health.py",
-        "return self.confirmed_at is None or moment - self.confirmed_at >= seconds",
+        "return self.confirmed_at is None or sent_at - self.confirmed_at >= seconds",
         "return True",
         "forwarding/test_turned_away_node.py::test_departed_worker_is_removed_at_once_by_all_nodes",
     ),
@@ -452,7 +452,7 @@
         "crashes told to nobody",
         FORWARDING,
         "forwarding/crash_reports.py",
-        "            await asyncio.sleep(GATHER_SECONDS)\n",
+        "            await asyncio.sleep(COALESCE_SECONDS)\n",
         "            await asyncio.Event().wait()\n",
         "forwarding/test_crashing_requests.py::test_restarted_nodes_still_refuse_crashing_request",
     ),
@@ -468,10 +468,10 @@
         "a whole run clears nothing",
         FORWARDING,
         "forwarding/crash_reports.py",
-        "        self._ledger.clear(crashes)\n        for one in crashes:",
-        "        for one in ():",
+        "        self._ledger.clear(crashes)\n        for crash in crashes:",
+        "        for crash in ():",
         "../unit/forwarding/test_crash_reports.py"
-        "::test_a_whole_run_of_a_free_content_is_told_once_another_engine_ends_under_it",
+        "::test_completed_run_of_free_fingerprint_is_written_after_another_crash",
     ),
     _one(
         "suspected contents run together",
@@ -497,7 +497,7 @@
             ),
         ),
         "tests/probe/forwarding/test_said_in_answers.py"
-        "::test_a_node_that_passed_the_word_on_sends_nothing_more",
+        "::test_leaving_notice_stops_requests_of_forwarding_node",
     ),
     _one(
         "rest is asked for by no choice",
@@ -506,7 +506,7 @@
         "self._registry.withheld(service) | job.excluded",
         "frozenset(job.excluded)",
         "forwarding/test_said_in_answers.py"
-        "::test_the_only_worker_has_its_rest_and_callers_are_told_when_it_ends",
+        "::test_backoff_of_only_worker_gives_callers_staggered_retry_times",
     ),
     _one(
         "rest is not looked at before the request is written",
@@ -515,7 +515,7 @@
         "if not self._registry.may_begin(worker.id, assignment.placement.rate_limit_charged):",
         "if not self._registry.accepts_requests(worker.id):",
         "forwarding/test_said_in_answers.py"
-        "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
+        "::test_waiting_requests_are_not_sent_all_at_once_after_backoff",
     ),
     _one(
         "after a rest all come at once",
@@ -524,7 +524,7 @@
         "FIRST_AFTER_REST = 1\n",
         "FIRST_AFTER_REST = 16\n",
         "forwarding/test_said_in_answers.py"
-        "::test_what_waits_does_not_all_come_at_the_end_of_a_rest",
+        "::test_waiting_requests_are_not_sent_all_at_once_after_backoff",
     ),
     _one(
         "a view's age is looked at only between two polls",
@@ -594,7 +594,7 @@
         "peers/limit_reports.py",
         "self._socket.send_to(addresses, LIMITS, part)",
         "del part",
-        "forwarding/test_worker_limits.py::test_a_limit_that_one_node_has_seen_is_known_to_all",
+        "forwarding/test_worker_limits.py::test_limit_received_by_one_node_reaches_all_nodes",
     ),
     _one(
         "a grant is used that was not counted for its worker's limit",
@@ -602,7 +602,7 @@
         "peers/dispatch_link.py",
         "if not answer.counted and self._limits.rate(answer.worker) is not None:",
         "if False:",
-        "forwarding/test_worker_limits.py::test_a_grant_that_was_not_counted_is_handed_back",
+        "forwarding/test_worker_limits.py::test_uncharged_grant_is_released",
     ),
     _one(
         "a node without authority uses limited workers",
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -207,7 +207,7 @@
                 return response, answer
             while not isinstance(await self._connection.next_event(), h11.EndOfMessage):
                 pass
-            self._connection.skip_foreign_answer()
+            self._connection.skip_foreign_response()
 
     def _record_worker_state(self, status: int, answer: AnswerMetadata) -> None:
         """Record the worker state reported in the response headers."""
@@ -217,7 +217,7 @@
             # Another process listens at the address; its headers do not describe this worker.
             registry.mark_replaced(info.id)
             return
-        registry.notices.heard(info, status, answer, AnswerSource.REQUEST, self._sent_at)
+        registry.notices.record_response(info, status, answer, AnswerSource.REQUEST, self._sent_at)
         if answer.weights_version is not None and model:
             registry.record_weights(info.id, model, answer.weights_version)
 
--- a/src/wheelslip/forwarding/crash_guard.py
+++ b/src/wheelslip/forwarding/crash_guard.py
@@ -90,12 +90,12 @@
 
     def record_lost_response(self, job: Job, worker: WorkerInfo) -> None:
         """Start to check whether a worker that lost a response has crashed."""
-        self._evidence.lost(job.fingerprint, worker, job.on_trial, job.last_sent_at)
+        self._evidence.record_lost_response(job.fingerprint, worker, job.on_trial, job.last_sent_at)
 
     def record_completed_run(self, job: Job) -> None:
         """Record that a request was executed completely, which clears its crashes."""
         if self._ledger and self._ledger.crashes(job.fingerprint):
-            self.reports.add_whole_run(job.fingerprint)
+            self.reports.add_completed_run(job.fingerprint)
 
     def end_trial(self, trial_lock: TrialLock, job: Job) -> None:
         """Release a trial lock in the background, once the result is known and was reported."""
@@ -105,8 +105,8 @@
 
     async def _end_trial(self, trial_lock: TrialLock, job: Job) -> None:
         if job.last_incarnation is not None:
-            await self._evidence.settled(job.last_incarnation)
-        await self.reports.written()
+            await self._evidence.wait_until_checked(job.last_incarnation)
+        await self.reports.wait_until_written()
         # Keep the lock until reports of other nodes about the same crash have been received.
         await asyncio.sleep(self._ledger.news_seconds(job.fingerprint))
         await self._trial_locks.release(trial_lock)
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -366,4 +366,4 @@
         finally:
             attempt.finish()
             assignment.end(attempt.had_first_token)
-            notices.ended(recovery_slot, outcome in _SERVED)
+            notices.end_request(recovery_slot, outcome in _SERVED)
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -83,7 +83,7 @@
         random_source = random.Random()
         store = make_store(lambda: self.settings.store.address)
         self._registry = Registry(documents, self.bounds, clock)
-        control.on_answer = self._registry.notices.heard
+        control.on_answer = self._registry.notices.record_response
         section = self.settings.node
         self._table = table = LoadTable()
         self._pool = WorkerPool(clock)
@@ -128,7 +128,7 @@
             section.peers,
             self._datagrams,
             notices.limits,
-            notices.take_report,
+            notices.apply_report,
             lambda: self._relay.by_tenure() if self._relay else [],
             self._feed.heard,
         )
@@ -140,7 +140,7 @@
             self._placement,
             lambda service: self._relay.dispatchers_of(service) if self._relay else [],
             health,
-            self._meter.counters,
+            self._meter.available_meters,
             notices.limits,
             self._limit_reports.report_to,
             clock,
@@ -327,8 +327,8 @@
             "granted_requests": lambda: float(self._dispatcher.granted),
             **self._meter.gauges(),
             "refused_contents": lambda: float(self._crash_guard.refused_fingerprints()),
-            "engines_said_leaving": lambda: float(self._registry.notices.said_leaving),
-            "engine_rests_begun": lambda: float(self._registry.notices.rests_begun),
+            "engines_said_leaving": lambda: float(self._registry.notices.leaving_notices),
+            "engine_rests_begun": lambda: float(self._registry.notices.backoffs_begun),
             "engines_resting": lambda: float(self._registry.notices.resting),
             "engines_limited": lambda: float(self._registry.notices.limits.count()),
             "worker_connections_opened": lambda: float(self._pool.opened),
@@ -340,7 +340,7 @@
         self._crash_guard.entry_changed(key)
 
     def _forget_worker(self, incarnation: Incarnation) -> None:
-        self._pool.forget(incarnation)
+        self._pool.close_idle(incarnation)
         self._placement.forget(incarnation)
         self._fleet.forget(incarnation)
 
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -110,7 +110,7 @@
 
         :param sent_at: when the call was sent.
         """
-        self.health.note_failed(sent_at, self._clock())
+        self.health.record_failed(sent_at, self._clock())
         if self.health.outage_at == sent_at:
             self._restart_deadlines(sent_at)
 
@@ -119,7 +119,7 @@
 
         :param sent_at: when the last failed call was sent.
         """
-        self.health.note_outage(sent_at)
+        self.health.record_outage(sent_at)
         self._restart_deadlines(sent_at)
 
     def _restart_deadlines(self, outage_at: float) -> None:
@@ -150,12 +150,12 @@
 
         :return: a time on the node's clock; ``None`` when the worker is to be removed at once.
         """
-        trouble_at = self.health.trouble_at
-        if trouble_at is None:
+        suspected_outage_at = self.health.suspected_outage_at
+        if suspected_outage_at is None:
             return None
         bounds = self._bounds()
         ends = (
-            trouble_at + bounds.contact_ms / 1000 - DOUBTFUL_MARGIN_SECONDS,
+            suspected_outage_at + bounds.contact_ms / 1000 - DOUBTFUL_MARGIN_SECONDS,
             self._clock() + self.drain_seconds() - DOUBTFUL_MARGIN_SECONDS,
         )
         return min(ends) if self._clock() < min(ends) else None
@@ -261,12 +261,12 @@
             engine=info.worker_id,
             incarnation=info.id,
             zone=info.zone,
-            trouble_age=round(self._clock() - self.health.trouble_at, 3),
+            trouble_age=round(self._clock() - self.health.suspected_outage_at, 3),
         )
 
     def apply_expirations(self) -> None:
         """Apply all expirations: backoffs, rate limits, doubtful workers and deferred entries."""
-        self.notices.tell_ended()
+        self.notices.expire_backoffs()
         self.limits.expire(self.workers)
         if self.view.expire():
             self._notify_changed()
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -170,7 +170,7 @@
         if self._failures >= OUTAGE_FAILURES:
             log_event(LogEvent.KEY_VALUE_REGAINED)
         self._failures = 0
-        self._registry.health.note_answered(sent_at, self._clock())
+        self._registry.health.record_answered(sent_at, self._clock())
 
     def _record_failure(self, error: KeyValueError, sent_at: float) -> None:
         self._failures += 1
--- a/src/wheelslip/platform/store.py
+++ b/src/wheelslip/platform/store.py
@@ -13,7 +13,7 @@
     PeerLost,
     PeerUnreachable,
     connect,
-    read_whole,
+    read_response,
 )
 from wheelslip.keyvalue.model import (
     Delete,
@@ -176,7 +176,7 @@
         try:
             async with asyncio.timeout(seconds):
                 connection.send(method, target.encode(), _headers(address, body), body)
-                response, answer = await read_whole(connection)
+                response, answer = await read_response(connection)
             done = True
         except (PeerLost, TimeoutError) as error:
             raise KeyValueOutcomeUnknown(f"{target}: {error!r}") from error
--- a/tests/unit/forwarding/test_bound_after_outage.py
+++ b/tests/unit/forwarding/test_bound_after_outage.py
@@ -39,7 +39,7 @@
 
 def answer_call(registry, clock, now):
     clock.now = now
-    registry.health.note_answered(now, now)
+    registry.health.record_answered(now, now)
     registry.confirm(now)
 
 
--- a/tests/unit/forwarding/test_feed.py
+++ b/tests/unit/forwarding/test_feed.py
@@ -96,7 +96,7 @@
     clock = Clock(100.0)
     registry, sync = follower(clock)
     sync._apply_batch(FeedBatch(9, False, [], 0.0, 0.5), sent_at=99.0)
-    assert registry.health.trouble_at is None
+    assert registry.health.suspected_outage_at is None
 
 
 def test_a_follower_of_a_relay_that_fails_looks_at_the_store_itself():
--- a/tests/unit/forwarding/test_registry.py
+++ b/tests/unit/forwarding/test_registry.py
@@ -147,7 +147,7 @@
 def test_worker_removed_in_an_outage_stays_in_use_for_the_contact_time(registry, clock):
     synchronize(registry, clock, [None, *failures(3), None])
     # The listing is sent at 100 s, the last failed call at 103 s.
-    assert registry.health.trouble_at == 103.0
+    assert registry.health.suspected_outage_at == 103.0
     enter(registry, "a", revision=5)
     registry.apply("servers/a", None, 6)
     assert [worker.info.id for worker in registry.workers_of("s")] == ["a"]
--- a/tests/unit/forwarding/test_store_outage.py
+++ b/tests/unit/forwarding/test_store_outage.py
@@ -127,7 +127,7 @@
     registry.confirm(104.05)
     clock.now = 104.9
     registry.record_failed_call(104.9)
-    assert registry.health.trouble_at == 102.6
+    assert registry.health.suspected_outage_at == 102.6
 
 
 def test_outage_during_a_single_call_is_detected(registry, clock):
@@ -151,8 +151,8 @@
     registry.record_failed_call(103.0)
     clock.now = 103.1
     registry.confirm(102.8)
-    registry.health.note_answered(103.1, 103.1)
-    assert registry.health.trouble_at is None
+    registry.health.record_answered(103.1, 103.1)
+    assert registry.health.suspected_outage_at is None
 
 
 def test_followers_probe_the_store_when_their_relay_gets_no_answer(registry, clock):
