--- a/tests/unit/forwarding/test_feed.py
+++ b/tests/unit/forwarding/test_feed.py
@@ -96,7 +96,7 @@
     clock = Clock(100.0)
     registry, sync = follower(clock)
     sync._apply_batch(FeedBatch(9, False, [], 0.0, 0.5), sent_at=99.0)
-    assert registry.health.trouble_at is None
+    assert registry.health.suspected_outage_at is None
 
 
 def test_follower_of_a_failing_relay_probes_the_store():
