--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -17,7 +17,7 @@
     WorkerState,
 )
 from wheelslip.peers.dispatch_messages import WorkerAsk, WorkerGrant
-from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
+from wheelslip.routing.dispatcher import Dispatcher, Progress, QueryId
 from wheelslip.routing.fleet_choice import FleetPlacement
 from wheelslip.routing.limit_authority import WholeAuthority
 from wheelslip.routing.named_limits import NamedLimits
@@ -81,17 +81,17 @@
     dispatcher = Dispatcher(placement, limits, allowance, clock)
     source, running, spent = random.Random(2), [], 0.0
     for number in range(REQUESTS):
-        ticket_id = TicketId("0123456789ab", number)
-        frame = encode_frame(("ask", WorkerAsk.of(ticket_id, _query(number, source))))
+        query_id = QueryId("0123456789ab", number)
+        frame = encode_frame(("ask", WorkerAsk.of(query_id, _query(number, source))))
         began = time.perf_counter()
         _, ask = decode_frame(frame, tuple[str, WorkerAsk])
-        placement = dispatcher.ask(ask.ticket_id(), ask.query())
+        placement = dispatcher.grant(ask.query_id(), ask.query())
         encode_frame(("grant", WorkerGrant(number, "0123456789ab", placement.worker.info.id)))
-        dispatcher.progress(ticket_id, Progress.FIRST_TOKEN)
+        dispatcher.record_progress(query_id, Progress.FIRST_TOKEN)
         if len(running) == RUNNING:
-            dispatcher.progress(running.pop(0), Progress.ENDED)
+            dispatcher.record_progress(running.pop(0), Progress.ENDED)
         spent += time.perf_counter() - began
-        running.append(ticket_id)
+        running.append(query_id)
     return spent / REQUESTS * 1e6
 
 
--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -17,11 +17,11 @@
 from wheelslip.routing.model import (
     ENGINE_PRIORITY,
     RECOMPUTE_WEIGHT,
-    AskHome,
     EngineInfo,
+    HomeLookup,
+    HomeUpdate,
     RoutingRequest,
     ServiceClass,
-    TellHome,
 )
 from wheelslip.routing.prefix import BLOCK_TOKENS
 
@@ -241,7 +241,7 @@
 
     def _carry_out(self, placements: list[NodeOutput], node: WheelslipNode | BaselineNode) -> None:
         for placement in placements:
-            if isinstance(placement, AskHome | TellHome):
+            if isinstance(placement, HomeLookup | HomeUpdate):
                 self.environment.process(self._talk_to_home(placement, node))
                 continue
             work = self._works[placement.request_id]
@@ -252,20 +252,20 @@
             self.environment.process(self._send(work, self._engines[placement.engine]))
 
     def _talk_to_home(
-        self, message: AskHome | TellHome, asker: WheelslipNode
+        self, message: HomeLookup | HomeUpdate, asker: WheelslipNode
     ) -> Iterator[simpy.Event]:
         """Carry a message to a prefix's home node, and its answer back."""
         names = [str(number) for number in range(self.scenario.nodes)]
         home = self._nodes[int(rendezvous.owner(str(message.head), names))]
         yield self.environment.timeout(_HOP_SECONDS)
         self.figures.home_messages += 1
-        if isinstance(message, TellHome):
-            home.registry.tell(message.head, message.plan, self.environment.now)
+        if isinstance(message, HomeUpdate):
+            home.registry.record(message.head, message.plan, self.environment.now)
             return
-        hints = home.registry.ask(message.head, message.plan, self.environment.now)
+        hints = home.registry.lookup(message.head, message.plan, self.environment.now)
         yield self.environment.timeout(_HOP_SECONDS)
         now = self.environment.now
-        self._carry_out(asker.home_answered(message.head, hints, now), asker)
+        self._carry_out(asker.handle_home_reply(message.head, hints, now), asker)
 
     def _come_back(self, work: _Work, seconds: float) -> Iterator[simpy.Event]:
         """Repeat a refused request when its caller was told to; lateness counts from its start."""
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -7,12 +7,12 @@
 from wheelslip.routing import rendezvous
 from wheelslip.routing.cost import SchedulerOptions
 from wheelslip.routing.model import (
-    AskHome,
     Decision,
     Dispatch,
     EngineInfo,
+    HomeLookup,
+    HomeUpdate,
     RoutingRequest,
-    TellHome,
 )
 from wheelslip.routing.prefix_registry import PrefixHint, PrefixRegistry
 from wheelslip.routing.scheduler import Scheduler
@@ -27,7 +27,7 @@
     retry_after_seconds: float = 0.0
 
 
-NodeOutput = Placement | AskHome | TellHome
+NodeOutput = Placement | HomeLookup | HomeUpdate
 
 
 class BaselineNode:
@@ -133,11 +133,11 @@
         self._scheduler = Scheduler(options, random_source)
         self.registry = PrefixRegistry()
 
-    def home_answered(
+    def handle_home_reply(
         self, head: int, hints: tuple[PrefixHint, ...], now: float
     ) -> list[NodeOutput]:
         """Take the answer of a prefix's home node."""
-        return _placements(self._scheduler.home_answered(head, hints, now))
+        return _placements(self._scheduler.handle_home_reply(head, hints, now))
 
     def update_engine(self, info: EngineInfo, now: float) -> list[Placement]:
         """Learn of an engine."""
@@ -177,7 +177,7 @@
     for one in decisions:
         if isinstance(one, Dispatch):
             placements.append(Placement(one.request_id, one.engine.name))
-        elif isinstance(one, AskHome | TellHome):
+        elif isinstance(one, HomeLookup | HomeUpdate):
             placements.append(one)
         else:
             placements.append(Placement(one.request_id, None, one.retry_after_seconds))
--- a/src/wheelslip/forwarding/job.py
+++ b/src/wheelslip/forwarding/job.py
@@ -6,7 +6,7 @@
 import h11
 
 from wheelslip.deployment import ForwardedRequest, Incarnation, Route, Tenant
-from wheelslip.routing.fingerprint import content_fingerprint
+from wheelslip.routing.fingerprint import request_fingerprint
 
 
 @dataclass(frozen=True)
@@ -63,4 +63,4 @@
         """The identity of the request's content, computed when it is first asked for."""
         request = self.request
         tenant = self.tenant.name if self.tenant is not None else ""
-        return content_fingerprint(request.method, request.target, tenant, request.body)
+        return request_fingerprint(request.method, request.target, tenant, request.body)
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -32,7 +32,7 @@
     WorkerGrant,
 )
 from wheelslip.peers.dispatcher_health import DispatcherHealth, NoDispatcher
-from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
+from wheelslip.routing.dispatcher import Dispatcher, Progress, QueryId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
 from wheelslip.routing.named_limits import NamedLimits
@@ -77,7 +77,7 @@
     :ivar dispatcher: address of the node that granted it.
     """
 
-    ticket_id: TicketId
+    query_id: QueryId
     dispatcher: str
     service: str
     placement: Placement
@@ -87,7 +87,7 @@
         """Return what another dispatcher needs to know of it."""
         placement = self.placement
         return RunningRequest(
-            self.ticket_id.ask,
+            self.query_id.number,
             placement.worker.info.id,
             placement.weights_version,
             placement.chain,
@@ -168,8 +168,8 @@
         :raises TenantLimited: when the tenant is over its limit.
         :raises NoAuthority: when no node can count it just now.
         """
-        ticket_id = self._next_ticket()
-        ask = WorkerAsk.of(ticket_id, query, counts_only=True)
+        query_id = self._next_query_id()
+        ask = WorkerAsk.of(query_id, query, counts_only=True)
         for meter in self._counters()[:MOST_COUNTERS]:
             with contextlib.suppress(NoDispatcher):
                 answer = await self._exchange(meter, ask)
@@ -177,24 +177,24 @@
                     raise TenantLimited(query.tenant, answer.retry_seconds)
                 if answer.counted:
                     return
-        self._dispatcher.count(ticket_id, query)
+        self._dispatcher.count(query_id, query)
 
-    def _next_ticket(self) -> TicketId:
+    def _next_query_id(self) -> QueryId:
         self._asks += 1
-        return TicketId(self.incarnation, self._asks)
+        return QueryId(self.incarnation, self._asks)
 
     async def _ask(self, query: PlacementQuery) -> Grant | None:
         address = self._health.choose(self._dispatchers_of(query.service))
-        ticket_id = self._next_ticket()
+        query_id = self._next_query_id()
         if address == self._address:
-            placement = self._dispatcher.ask(ticket_id, query)
+            placement = self._dispatcher.grant(query_id, query)
             self._note_current(query.service, address, self.incarnation)
-            return self._keep(ticket_id, address, query.service, placement)
+            return self._keep(query_id, address, query.service, placement)
         if self._clock() < self._uncounting_until.get(address, 0.0):
             query = query._replace(excluded=query.excluded | self._limited(query.service))
-        answer = await self._exchange(address, WorkerAsk.of(ticket_id, query))
+        answer = await self._exchange(address, WorkerAsk.of(query_id, query))
         self._note_current(query.service, address, answer.dispatcher)
-        return self._take(ticket_id, address, query, answer)
+        return self._take(query_id, address, query, answer)
 
     async def _exchange(self, address: str, ask: WorkerAsk) -> WorkerGrant:
         """Ask, and ask once more.
@@ -217,7 +217,7 @@
         raise NoDispatcher
 
     def _take(
-        self, ticket_id: TicketId, address: str, query: PlacementQuery, answer: WorkerGrant
+        self, query_id: QueryId, address: str, query: PlacementQuery, answer: WorkerGrant
     ) -> Grant | None:
         if answer.limited:
             raise TenantLimited(query.tenant, answer.retry_seconds)
@@ -228,10 +228,10 @@
         worker = self._records.worker(answer.worker)
         if worker is None or not self._records.accepts(worker, query):
             # This node knows better: the worker leaves or rests, or its weights are too old.
-            self._send(address, ticket_id, Progress.UNUSED)
+            self._send(address, query_id, Progress.UNUSED)
             raise NoDispatcher
         if not answer.counted and self._limits.rate(answer.worker) is not None:
-            self._hand_back_uncounted(address, ticket_id, answer.worker)
+            self._hand_back_uncounted(address, query_id, answer.worker)
             raise NoDispatcher
         version = answer.weights_version
         chain = query.chain(version)
@@ -247,29 +247,29 @@
             cache=cache,
             is_counted=answer.counted,
         )
-        return self._keep(ticket_id, address, query.service, placement)
+        return self._keep(query_id, address, query.service, placement)
 
     def _limited(self, service: str) -> frozenset[Incarnation]:
         """Return the workers of a service that name a limit."""
         starts = self._limits.limited_starts()
         return frozenset(one for one in starts if self._records.serves(one, service))
 
-    def _hand_back_uncounted(self, address: str, ticket_id: TicketId, worker: Incarnation) -> None:
+    def _hand_back_uncounted(self, address: str, query_id: QueryId, worker: Incarnation) -> None:
         """Hand back a limited worker that a dispatcher granted without counting."""
         self.uncounted += 1
         log_event(LogEvent.GRANT_UNCOUNTED, dispatcher=address, incarnation=worker)
         self._uncounting_until[address] = self._clock() + UNCOUNTED_SECONDS
         self._report_limits(address)
-        self._send(address, ticket_id, Progress.UNUSED)
+        self._send(address, query_id, Progress.UNUSED)
 
     def _keep(
-        self, ticket_id: TicketId, address: str, service: str, placement: Placement | None
+        self, query_id: QueryId, address: str, service: str, placement: Placement | None
     ) -> Grant | None:
         if placement is None:
             return None
         self.granted += 1
-        grant = Grant(ticket_id, address, service, placement)
-        self._grants[ticket_id.ask] = grant
+        grant = Grant(query_id, address, service, placement)
+        self._grants[query_id.number] = grant
         return grant
 
     def tell(self, grant: Grant, progress: Progress) -> None:
@@ -278,10 +278,10 @@
             grant.had_first_token = True
             self._note_read(grant)
         else:
-            self._grants.pop(grant.ticket_id.ask, None)
+            self._grants.pop(grant.query_id.number, None)
         current, _ = self._current.get(grant.service, (grant.dispatcher, ""))
         for address in {grant.dispatcher, current}:
-            self._send(address, grant.ticket_id, progress)
+            self._send(address, grant.query_id, progress)
 
     def _note_read(self, grant: Grant) -> None:
         placement = grant.placement
@@ -289,11 +289,11 @@
             kept = KeptPrompt(placement.worker.info.id, placement.chain)
             self._read.append(_ReadPrompt(self._clock() + READ_SECONDS, grant.service, kept))
 
-    def _send(self, address: str, ticket_id: TicketId, progress: Progress) -> None:
+    def _send(self, address: str, query_id: QueryId, progress: Progress) -> None:
         if address == self._address:
-            self._dispatcher.progress(ticket_id, progress)
+            self._dispatcher.record_progress(query_id, progress)
         else:
-            self._socket.send(address, TELL, ProgressTold(*ticket_id, progress))
+            self._socket.send(address, TELL, ProgressTold(*query_id, progress))
 
     # What runs here
 
@@ -319,7 +319,7 @@
         for first in range(0, len(kept), PART_REQUESTS):
             part = kept[first : first + PART_REQUESTS]
             if address == self._address:
-                self._dispatcher.kept(part)
+                self._dispatcher.record_cached_prompts(part)
             else:
                 self._socket.send(address, KEPT, KeptTold(part))
 
@@ -332,7 +332,7 @@
         for first in range(0, max(1, len(grants)), PART_REQUESTS):
             part = [one.as_running() for one in grants[first : first + PART_REQUESTS]]
             if address == self._address:
-                self._dispatcher.running(self.incarnation, asks, part)
+                self._dispatcher.reconcile_running(self.incarnation, asks, part)
             else:
                 self._socket.send(address, RUNNING, RunningTold(self.incarnation, asks, part))
 
@@ -342,4 +342,4 @@
             fut.set_result(grant)
         elif grant.worker and grant.ask not in self._grants:
             # Too late: another dispatcher or this node has chosen meanwhile.
-            self._send(sender, TicketId(self.incarnation, grant.ask), Progress.UNUSED)
+            self._send(sender, QueryId(self.incarnation, grant.ask), Progress.UNUSED)
--- a/src/wheelslip/peers/dispatch_messages.py
+++ b/src/wheelslip/peers/dispatch_messages.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from wheelslip.deployment import Incarnation, PromptPart
-from wheelslip.routing.dispatcher import Progress, TicketId
+from wheelslip.routing.dispatcher import Progress, QueryId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
 from wheelslip.routing.placement import PlacementQuery
@@ -56,12 +56,10 @@
     counts_only: bool = False
 
     @classmethod
-    def of(
-        cls, ticket_id: TicketId, query: PlacementQuery, counts_only: bool = False
-    ) -> "WorkerAsk":
+    def of(cls, query_id: QueryId, query: PlacementQuery, counts_only: bool = False) -> "WorkerAsk":
         """Return the question for one request."""
         return cls(
-            *ticket_id,
+            *query_id,
             query.service,
             query.stream_group,
             query.model,
@@ -81,9 +79,9 @@
             counts_only,
         )
 
-    def ticket_id(self) -> TicketId:
+    def query_id(self) -> QueryId:
         """Return what names the ticket."""
-        return TicketId(self.node, self.ask)
+        return QueryId(self.node, self.ask)
 
     def query(self) -> PlacementQuery:
         """Return the question as the choice of a worker sees it."""
--- a/src/wheelslip/peers/dispatch_server.py
+++ b/src/wheelslip/peers/dispatch_server.py
@@ -16,7 +16,7 @@
     WorkerAsk,
     WorkerGrant,
 )
-from wheelslip.routing.dispatcher import Dispatcher, TicketId
+from wheelslip.routing.dispatcher import Dispatcher, QueryId
 from wheelslip.routing.overload import Overloaded
 from wheelslip.routing.placement import Placement
 from wheelslip.routing.tenant_limits import NoAuthority, TenantLimited
@@ -55,7 +55,7 @@
 
     def _grant(self, ask: WorkerAsk) -> WorkerGrant:
         try:
-            placement = self._dispatcher.ask(ask.ticket_id(), ask.query())
+            placement = self._dispatcher.grant(ask.query_id(), ask.query())
         except Overloaded as exc:
             return WorkerGrant(ask.ask, self._incarnation, retry_seconds=exc.retry_seconds)
         except TenantLimited as exc:
@@ -79,7 +79,7 @@
 
     def _count(self, ask: WorkerAsk) -> WorkerGrant:
         try:
-            self._dispatcher.count(ask.ticket_id(), ask.query())
+            self._dispatcher.count(ask.query_id(), ask.query())
         except TenantLimited as exc:
             return self._limited(ask, exc)
         except NoAuthority:
@@ -91,10 +91,10 @@
         return WorkerGrant(ask.ask, self._incarnation, retry_seconds=seconds, limited=True)
 
     def _told(self, told: ProgressTold, sender: str) -> None:
-        self._dispatcher.progress(TicketId(told.node, told.ask), told.progress)
+        self._dispatcher.record_progress(QueryId(told.node, told.ask), told.progress)
 
     def _told_kept(self, told: KeptTold, sender: str) -> None:
-        self._dispatcher.kept(told.prompts)
+        self._dispatcher.record_cached_prompts(told.prompts)
 
     def _listed(self, told: RunningTold, sender: str) -> None:
-        self._dispatcher.running(told.node, told.asks, told.requests)
+        self._dispatcher.reconcile_running(told.node, told.asks, told.requests)
--- a/src/wheelslip/peers/prefix_link.py
+++ b/src/wheelslip/peers/prefix_link.py
@@ -9,7 +9,7 @@
 )
 from wheelslip.peers.task import MembershipTask
 from wheelslip.routing import rendezvous
-from wheelslip.routing.model import AskHome, TellHome
+from wheelslip.routing.model import HomeLookup, HomeUpdate
 from wheelslip.routing.prefix_registry import PrefixHint
 from wheelslip.routing.task import RouterTask
 
@@ -21,7 +21,7 @@
         self._me = me
         self._membership = membership
 
-    def home_of(self, head: int) -> str | None:
+    def home_address(self, head: int) -> str | None:
         """Return the address of a prefix's home, or ``None`` when it is this node."""
         members = {
             member.name: member.address
@@ -31,9 +31,9 @@
         name = rendezvous.owner(str(head), members)
         return None if name in (None, self._me.name) else members[name]
 
-    def send(self, address: str, message: AskHome | TellHome) -> None:
+    def send(self, address: str, message: HomeLookup | HomeUpdate) -> None:
         """Send a question or news."""
-        if isinstance(message, AskHome):
+        if isinstance(message, HomeLookup):
             ask = PrefixAsk(self._me.address, message.head, message.plan)
             self._membership.send_prefix(address, ask)
         else:
@@ -47,8 +47,8 @@
     def receive(message: PrefixMessage, router: RouterTask) -> None:
         """Hand a received message to the router, which owns the registry."""
         if isinstance(message, PrefixAsk):
-            router.home_asked(message.address, message.head, message.plan)
+            router.handle_home_lookup(message.address, message.head, message.plan)
         elif isinstance(message, PrefixAnswer):
-            router.home_answered(message.head, message.hints)
+            router.handle_home_reply(message.head, message.hints)
         else:
-            router.home_told(message.head, message.plan)
+            router.handle_home_update(message.head, message.plan)
--- a/src/wheelslip/routing/cost.py
+++ b/src/wheelslip/routing/cost.py
@@ -19,7 +19,7 @@
 from wheelslip.routing.model import EngineState, RoutingRequest
 from wheelslip.routing.prefills import PrefillBoard
 from wheelslip.routing.prefix import BLOCK_TOKENS
-from wheelslip.routing.sharing import ASK_TIMEOUT_SECONDS
+from wheelslip.routing.sharing import HOME_LOOKUP_TIMEOUT_SECONDS
 
 HEAD_SHARE = 0.5
 """The head that places a prompt is its first power-of-two blocks within this share of it:
@@ -60,7 +60,7 @@
     feedback: bool = True
     class_priority: bool = True
     ask_home: bool = True
-    ask_timeout_seconds: float = ASK_TIMEOUT_SECONDS
+    ask_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS
 
 
 @dataclass(frozen=True)
@@ -116,7 +116,7 @@
         ready = [
             view
             for view in self._engines.values()
-            if eligible(view, request) and view.takes_work(now)
+            if eligible(view, request) and view.is_available(now)
         ]
         if not ready:
             return None
@@ -128,7 +128,7 @@
         for choice in choices:
             if choice.cost_seconds > limit:
                 return None
-            if choice.engine.accepts_more(now):
+            if choice.engine.has_capacity(now):
                 follows = self._options.follow and self._follows(request, choice, now, following)
                 return None if follows else choice
         return None
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -48,11 +48,11 @@
     UNREACHED = "unreached"
 
 
-class TicketId(NamedTuple):
+class QueryId(NamedTuple):
     """A node's incarnation and the number of its question."""
 
     node: str
-    ask: int
+    number: int
 
 
 @dataclass
@@ -68,8 +68,8 @@
 
     :param limits: of tenants.
     :param allowance: this node's part of the limits that workers name.
-    :ivar given: grants since the start.
-    :ivar held_back: questions that got no worker since the start, for overload.
+    :ivar grants_issued: grants since the start.
+    :ivar overload_refusals: questions that got no worker since the start, for overload.
     """
 
     def __init__(
@@ -84,27 +84,27 @@
         self._allowance = allowance
         self._choice = LimitedChoice(placement, allowance)
         self._clock = clock
-        self._counted: dict[TicketId, float] = {}
-        self._tickets: dict[TicketId, _Ticket] = {}
+        self._counted: dict[QueryId, float] = {}
+        self._tickets: dict[QueryId, _Ticket] = {}
         self._heard_at: dict[str, float] = {}
         self._swept_at = clock()
-        self.given = 0
-        self.held_back = 0
+        self.grants_issued = 0
+        self.overload_refusals = 0
 
     @property
-    def granted(self) -> int:
+    def active_grants(self) -> int:
         """Requests that are believed to run by a grant of this dispatcher."""
         return len(self._tickets)
 
-    def ask(self, ticket_id: TicketId, query: PlacementQuery) -> Placement | None:
+    def grant(self, query_id: QueryId, query: PlacementQuery) -> Placement | None:
         """Grant a worker; ``None`` when none may take the request now.
 
         :raises TenantLimited: when its tenant is over its limit.
         :raises Overloaded: when none can begin it in time.
         """
-        self._hear(ticket_id.node)
+        self._hear(query_id.node)
         self._sweep()
-        known = self._tickets.get(ticket_id)
+        known = self._tickets.get(query_id)
         if known is not None:
             return known.placement
         try:
@@ -114,9 +114,9 @@
             return None
         placement = self._place(query, charge)
         if placement is not None:
-            self.given += 1
+            self.grants_issued += 1
             began_at = self.placement.begin(placement)
-            self._tickets[ticket_id] = _Ticket(placement, began_at, charge=charge)
+            self._tickets[query_id] = _Ticket(placement, began_at, charge=charge)
         return placement
 
     def _place(self, query: PlacementQuery, charge: Charge | None) -> Placement | None:
@@ -125,76 +125,76 @@
             placement = self._choice.choose(query, self._clock())
         except Overloaded:
             self._limits.give_back(charge)
-            self.held_back += 1
+            self.overload_refusals += 1
             raise
         if placement is None:
             self._limits.give_back(charge)
         return placement
 
-    def count(self, ticket_id: TicketId, query: PlacementQuery) -> None:
+    def count(self, query_id: QueryId, query: PlacementQuery) -> None:
         """Count a request for its tenant's limit whose node chooses the worker by itself.
 
         :raises TenantLimited: when the tenant is over its limit.
         :raises NoAuthority: when another node has to be asked.
         """
-        self._hear(ticket_id.node)
+        self._hear(query_id.node)
         self._sweep()
-        if ticket_id not in self._counted:
+        if query_id not in self._counted:
             self._limits.take(query)
-            self._counted[ticket_id] = self._clock() + COUNTED_SECONDS
+            self._counted[query_id] = self._clock() + COUNTED_SECONDS
 
-    def progress(self, ticket_id: TicketId, progress: Progress) -> None:
+    def record_progress(self, query_id: QueryId, progress: Progress) -> None:
         """Take what a node tells about a granted request; unknown tickets are passed over."""
-        self._hear(ticket_id.node)
-        ticket = self._tickets.get(ticket_id)
+        self._hear(query_id.node)
+        ticket = self._tickets.get(query_id)
         if ticket is None:
             return
         worker_id = ticket.placement.worker.info.id
         match progress:
             case Progress.FIRST_TOKEN:
                 self._first_token(ticket)
-                self.placement.heard(worker_id, ticket_id.node)
+                self.placement.heard(worker_id, query_id.node)
             case Progress.ENDED:
                 if ticket.had_first_token or not ticket.placement.chain:
                     self.placement.note_outcome(worker_id, failed=False)
-                    self.placement.heard(worker_id, ticket_id.node)
-                self._end(ticket_id)
+                    self.placement.heard(worker_id, query_id.node)
+                self._end(query_id)
             case Progress.FAILED:
                 self.placement.note_outcome(worker_id, failed=True)
-                self._end(ticket_id)
+                self._end(query_id)
             case Progress.SILENT:
                 self.placement.note_outcome(worker_id, failed=True)
-                self.placement.unreached(worker_id, ticket_id.node)
-                self._end(ticket_id)
+                self.placement.unreached(worker_id, query_id.node)
+                self._end(query_id)
             case Progress.NOT_RUN:
                 self.placement.note_outcome(worker_id, failed=True)
-                self._end_not_run(ticket_id)
+                self._end_not_run(query_id)
             case Progress.UNUSED:
-                self._end_not_sent(ticket_id)
+                self._end_not_sent(query_id)
             case Progress.UNREACHED:
-                self.placement.unreached(worker_id, ticket_id.node)
-                self._end_not_sent(ticket_id)
+                self.placement.unreached(worker_id, query_id.node)
+                self._end_not_sent(query_id)
 
-    def _end_not_sent(self, ticket_id: TicketId) -> None:
-        placement = self._tickets[ticket_id].placement
+    def _end_not_sent(self, query_id: QueryId) -> None:
+        placement = self._tickets[query_id].placement
         if placement.is_counted:
             self._allowance.give_back(placement.worker.info.id)
-        self._end_not_run(ticket_id)
+        self._end_not_run(query_id)
 
-    def _end_not_run(self, ticket_id: TicketId) -> None:
-        self._limits.give_back(self._tickets[ticket_id].charge)
-        self._end(ticket_id)
+    def _end_not_run(self, query_id: QueryId) -> None:
+        self._limits.give_back(self._tickets[query_id].charge)
+        self._end(query_id)
 
     def _first_token(self, ticket: _Ticket) -> None:
         if not ticket.had_first_token:
             ticket.had_first_token = True
             self.placement.first_token(ticket.placement, ticket.began_at)
 
-    def _end(self, ticket_id: TicketId) -> None:
-        ticket = self._tickets.pop(ticket_id)
+    def _end(self, query_id: QueryId) -> None:
+        ticket = self._tickets.pop(query_id)
         self.placement.end(ticket.placement, ticket.began_at, ticket.had_first_token)
 
-    def running(self, node: str, asks: list[int], requests: list[RunningRequest]) -> None:
+    def reconcile_running(self, node: str, asks: list[int], requests: list[RunningRequest]) -> None:
         """Take a node's list of all that it has running by grants.
 
         :param asks: the numbers of all of it.
@@ -203,26 +203,26 @@
         self._hear(node)
         listed = set(asks)
         now = self._clock()
-        for ticket_id, ticket in list(self._tickets.items()):
-            unlisted = ticket_id.node == node and ticket_id.ask not in listed
+        for query_id, ticket in list(self._tickets.items()):
+            unlisted = query_id.node == node and query_id.number not in listed
             if unlisted and now - ticket.began_at > UNLISTED_SECONDS:
-                self._end(ticket_id)
+                self._end(query_id)
         for one in requests:
-            self._adopt(TicketId(node, one.ask), one)
+            self._adopt(QueryId(node, one.ask), one)
 
-    def _adopt(self, ticket_id: TicketId, one: RunningRequest) -> None:
+    def _adopt(self, query_id: QueryId, one: RunningRequest) -> None:
         """Take over a request that another dispatcher has granted, or what was lost of it."""
-        ticket = self._tickets.get(ticket_id)
+        ticket = self._tickets.get(query_id)
         if ticket is None:
             placement = self.placement.adopted(one)
             if placement is None:
                 return
             ticket = _Ticket(placement, self.placement.begin(placement))
-            self._tickets[ticket_id] = ticket
+            self._tickets[query_id] = ticket
         if one.unread_tokens == 0:
             self._first_token(ticket)
 
-    def kept(self, prompts: list[KeptPrompt]) -> None:
+    def record_cached_prompts(self, prompts: list[KeptPrompt]) -> None:
         """Take over prompts that workers have read, as a node remembers them."""
         for one in prompts:
             self.placement.learn(one)
@@ -240,5 +240,5 @@
         silent = {node for node, at in self._heard_at.items() if now - at > SILENT_NODE_SECONDS}
         for node in silent:
             del self._heard_at[node]
-        for ticket_id in [one for one in self._tickets if one.node not in self._heard_at]:
-            self._end(ticket_id)
+        for query_id in [one for one in self._tickets if one.node not in self._heard_at]:
+            self._end(query_id)
--- a/src/wheelslip/routing/engine_view.py
+++ b/src/wheelslip/routing/engine_view.py
@@ -53,7 +53,7 @@
     reported_waiting: int = 0
     reported_at: float = float("-inf")
 
-    def takes_work(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Return whether new work may be sent there."""
         return self.info.state is EngineState.SERVING and self.circuit.allows(now)
 
@@ -91,7 +91,7 @@
             wait += others_waiting * self.mean_prefill_seconds
         return max(wait, self._observed_delay(now))
 
-    def accepts_more(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Return whether more should be sent now; else it waits at the node."""
         own_waiting = sum(one.first_token_at is None for one in self.in_flight.values())
         fresh = now - self.reported_at <= LOAD_REPORT_SECONDS
--- a/src/wheelslip/routing/fingerprint.py
+++ b/src/wheelslip/routing/fingerprint.py
@@ -7,7 +7,7 @@
 another tenant's, since its name is part of what is hashed."""
 
 
-def content_fingerprint(method: str, target: bytes, tenant: str, body: bytes) -> str:
+def request_fingerprint(method: str, target: bytes, tenant: str, body: bytes) -> str:
     """Return the fingerprint of a request as hexadecimal digits.
 
     The body is read once and neither copied nor kept: 5 us for 1 KB and 9 ms for 4 MiB (mean of 2,000 and 20 calls).
--- a/src/wheelslip/routing/model.py
+++ b/src/wheelslip/routing/model.py
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class AskHome:
+class HomeLookup:
     """Ask a prefix's home node before computing the prefix; requests wait meanwhile."""
 
     head: int
@@ -126,11 +126,11 @@
 
 
 @dataclass(frozen=True)
-class TellHome:
+class HomeUpdate:
     """Tell a prefix's home node where it is computed or was just used."""
 
     head: int
     plan: PrefixPlan
 
 
-Decision = Dispatch | Refusal | AskHome | TellHome
+Decision = Dispatch | Refusal | HomeLookup | HomeUpdate
--- a/src/wheelslip/routing/prefix_registry.py
+++ b/src/wheelslip/routing/prefix_registry.py
@@ -85,7 +85,7 @@
     def __len__(self) -> int:
         return len(self._heads)
 
-    def ask(self, head: int, plan: PrefixPlan, now: float) -> tuple[PrefixHint, ...]:
+    def lookup(self, head: int, plan: PrefixPlan, now: float) -> tuple[PrefixHint, ...]:
         """Return what is known; without anything as deep, the asker's plan is recorded.
 
         Recording at once means that of two nodes that ask at the same moment only the first
@@ -94,10 +94,10 @@
         hints = self._hints(head, plan.checkpoints, now)
         deepest = max((hint.blocks for hint in hints), default=0)
         if deepest < (len(plan.checkpoints) - NEARLY_WHOLE_CHECKPOINTS) * CHECKPOINT_BLOCKS:
-            self.tell(head, plan, now)
+            self.record(head, plan, now)
         return hints
 
-    def tell(self, head: int, plan: PrefixPlan, now: float) -> None:
+    def record(self, head: int, plan: PrefixPlan, now: float) -> None:
         """Record where a prompt is computed or was just used."""
         records = self._heads.setdefault(head, [])
         self._heads.move_to_end(head)
--- a/src/wheelslip/routing/scheduler.py
+++ b/src/wheelslip/routing/scheduler.py
@@ -183,7 +183,9 @@
         """Learn from elsewhere that an engine holds blocks."""
         self._index.record_stored(engine, incarnation, keys, now)
 
-    def home_answered(self, head: int, hints: tuple[PrefixHint, ...], now: float) -> list[Decision]:
+    def handle_home_reply(
+        self, head: int, hints: tuple[PrefixHint, ...], now: float
+    ) -> list[Decision]:
         """Take what a prefix's home node knows; waiting requests are placed with it."""
         asked = self._sharing.answered(head, now)
         if asked is None:
--- a/src/wheelslip/routing/separation.py
+++ b/src/wheelslip/routing/separation.py
@@ -31,7 +31,7 @@
         self._ranked_of: Collection[str] = []
         self._ranked: list[str] = []
 
-    def note(self, seconds: float, is_long: bool, now: float) -> None:
+    def record(self, seconds: float, is_long: bool, now: float) -> None:
         """Count a request by the time that reading its whole prompt takes."""
         fade = math.exp((self._counted_at - now) / MEMORY_SECONDS)
         self._long = self._long * fade + (seconds if is_long else 0.0)
--- a/src/wheelslip/routing/sharing.py
+++ b/src/wheelslip/routing/sharing.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass
 
-from wheelslip.routing.model import AskHome, EngineInfo, TellHome
+from wheelslip.routing.model import EngineInfo, HomeLookup, HomeUpdate
 from wheelslip.routing.prefix_registry import (
     MAX_HEADS,
     PrefixPlan,
@@ -15,7 +15,7 @@
 """Uncached tokens from which a home node is asked and told: it costs control traffic, and a
 shorter prompt is computed in a quarter of a second."""
 
-ASK_TIMEOUT_SECONDS = 0.05
+HOME_LOOKUP_TIMEOUT_SECONDS = 0.05
 """Longest wait for a prefix's home node; a lost question costs this much."""
 
 ANSWER_VALID_SECONDS = 0.5
@@ -37,7 +37,7 @@
 class PrefixSharing:
     """Questions under way and news given, each bounded in number."""
 
-    def __init__(self, ask_timeout_seconds: float = ASK_TIMEOUT_SECONDS):
+    def __init__(self, ask_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS):
         self._ask_timeout_seconds = ask_timeout_seconds
         self._asks: dict[int, _HomeAsk] = {}
         self._told_at: dict[tuple[int, str], float] = {}
@@ -53,7 +53,7 @@
 
     def ask(
         self, head: int, keys: tuple[int, ...], engine: EngineInfo, seconds: float, now: float
-    ) -> list[AskHome]:
+    ) -> list[HomeLookup]:
         """Return the question to the home, unless one is already on its way.
 
         :param seconds: until the prompt would be computed on ``engine``.
@@ -65,7 +65,7 @@
         self._asks[head] = _HomeAsk(keys, now)
         if len(self._asks) > MAX_HEADS:
             del self._asks[next(iter(self._asks))]
-        return [AskHome(head, _plan(engine, keys, seconds))]
+        return [HomeLookup(head, _plan(engine, keys, seconds))]
 
     def answered(self, head: int, now: float) -> tuple[int, ...] | None:
         """Take note of an answer; return the keys asked about, ``None`` when not asked."""
@@ -86,7 +86,7 @@
         seconds: float,
         now: float,
         urgent: bool = False,
-    ) -> list[TellHome]:
+    ) -> list[HomeUpdate]:
         """Return word for the home that a prompt is on an engine, or will be in ``seconds``.
 
         Unless urgent, it is given once in a while for each head and engine.
@@ -102,7 +102,7 @@
         self._told_at[name] = now
         if len(self._told_at) > MAX_HEADS:
             del self._told_at[next(iter(self._told_at))]
-        return [TellHome(head, _plan(engine, keys, seconds))]
+        return [HomeUpdate(head, _plan(engine, keys, seconds))]
 
 
 def _plan(engine: EngineInfo, keys: tuple[int, ...], seconds: float) -> PrefixPlan:
--- a/src/wheelslip/routing/task.py
+++ b/src/wheelslip/routing/task.py
@@ -12,13 +12,13 @@
 from wheelslip.events import LogEvent, log_event
 from wheelslip.routing.cost import SchedulerOptions
 from wheelslip.routing.model import (
-    AskHome,
     Decision,
     Dispatch,
     EngineInfo,
+    HomeLookup,
+    HomeUpdate,
     Refusal,
     RoutingRequest,
-    TellHome,
 )
 from wheelslip.routing.prefix_registry import PrefixHint, PrefixPlan, PrefixRegistry
 from wheelslip.routing.scheduler import Scheduler
@@ -52,10 +52,10 @@
 class HomeLink(Protocol):
     """How the router reaches the home nodes of prefixes."""
 
-    def home_of(self, head: int) -> str | None:
+    def home_address(self, head: int) -> str | None:
         """Return the home's address, or ``None`` when it is this node."""
 
-    def send(self, address: str, message: AskHome | TellHome) -> None:
+    def send(self, address: str, message: HomeLookup | HomeUpdate) -> None:
         """Send a question or news."""
 
     def answer(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
@@ -127,21 +127,21 @@
         """Report that an engine is gone."""
         self._act(lambda scheduler, now: scheduler.remove_engine(name))
 
-    def home_asked(self, address: str, head: int, plan: PrefixPlan) -> None:
+    def handle_home_lookup(self, address: str, head: int, plan: PrefixPlan) -> None:
         """Answer another node's question about a prefix whose home is here."""
 
         def answer(scheduler: Scheduler, now: float) -> None:
-            self._home_link.answer(address, head, self._registry.ask(head, plan, now))
+            self._home_link.answer(address, head, self._registry.lookup(head, plan, now))
 
         self._act(answer)
 
-    def home_told(self, head: int, plan: PrefixPlan) -> None:
+    def handle_home_update(self, head: int, plan: PrefixPlan) -> None:
         """Take another node's news of a prefix whose home is here."""
-        self._act(lambda scheduler, now: self._registry.tell(head, plan, now))
+        self._act(lambda scheduler, now: self._registry.record(head, plan, now))
 
-    def home_answered(self, head: int, hints: tuple[PrefixHint, ...]) -> None:
+    def handle_home_reply(self, head: int, hints: tuple[PrefixHint, ...]) -> None:
         """Take the answer of a prefix's home."""
-        self._act(lambda scheduler, now: scheduler.home_answered(head, hints, now))
+        self._act(lambda scheduler, now: scheduler.handle_home_reply(head, hints, now))
 
     def _act(self, action: Callable[[Scheduler, float], list[Decision] | None]) -> None:
         self._mailbox.put(_Act(action))
@@ -178,21 +178,21 @@
 
     def _carry_out(self, decisions: list[Decision], now: float) -> None:
         for decision in decisions:
-            if isinstance(decision, AskHome | TellHome):
+            if isinstance(decision, HomeLookup | HomeUpdate):
                 self._talk_to_home(decision, now)
             else:
                 self._replies.pop(decision.request_id).put(decision)
                 _log_long_prefill(decision)
 
-    def _talk_to_home(self, message: AskHome | TellHome, now: float) -> None:
-        address = self._home_link.home_of(message.head)
+    def _talk_to_home(self, message: HomeLookup | HomeUpdate, now: float) -> None:
+        address = self._home_link.home_address(message.head)
         if address is not None:
             self._home_link.send(address, message)
-        elif isinstance(message, TellHome):
-            self._registry.tell(message.head, message.plan, now)
+        elif isinstance(message, HomeUpdate):
+            self._registry.record(message.head, message.plan, now)
         else:
-            hints = self._registry.ask(message.head, message.plan, now)
-            self._carry_out(self._scheduler.home_answered(message.head, hints, now), now)
+            hints = self._registry.lookup(message.head, message.plan, now)
+            self._carry_out(self._scheduler.handle_home_reply(message.head, hints, now), now)
 
     def _publish_counts(self) -> None:
         scheduler = self._scheduler
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -244,7 +244,7 @@
         separation = self._separation.setdefault(query.stream_group, PromptSeparation())
         seconds = query.prompt_tokens / PREFILL_TOKENS_PER_SECOND
         is_long = seconds > LONG_PAUSE_SHARE * query.pause_seconds
-        separation.note(seconds, is_long, self._clock())
+        separation.record(seconds, is_long, self._clock())
         # A stream of a short request lasts longest, and an order to load waits for it: begun on
         # the newest weights, it holds no load up.
         replaced = self._on_replaced_weights(query.model, candidates)
--- a/tests/unit/forwarding/messages.py
+++ b/tests/unit/forwarding/messages.py
@@ -28,7 +28,7 @@
 )
 from wheelslip.peers.limit_reports import LimitsReported
 from wheelslip.routing.crash_ledger import Crash
-from wheelslip.routing.dispatcher import Progress, TicketId
+from wheelslip.routing.dispatcher import Progress, QueryId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
 from wheelslip.routing.load_table import LoadAtWorker, ZoneLoads
@@ -73,7 +73,7 @@
     crash = Crash("c0ffee", START, True)
     told = [Sample(f"progress {one.value}", ProgressTold("n1", 7, one)) for one in list(Progress)]
     return [
-        Sample("ask", WorkerAsk.of(TicketId("n1", 7), query, counts_only=True)),
+        Sample("ask", WorkerAsk.of(QueryId("n1", 7), query, counts_only=True)),
         Sample("grant", grant),
         *told,
         Sample("running", RunningTold("n1", [7, 8], [running])),
--- a/tests/unit/forwarding/test_dispatch_messages.py
+++ b/tests/unit/forwarding/test_dispatch_messages.py
@@ -13,7 +13,7 @@
     RunningTold,
     WorkerAsk,
 )
-from wheelslip.routing.dispatcher import TicketId
+from wheelslip.routing.dispatcher import QueryId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import KeptPrompt
 from wheelslip.routing.placement import PlacementQuery
@@ -41,7 +41,7 @@
         frozenset(f"i-{number:010x}" for number in range(2 * MAX_CONNECTED)),
         frozenset({WORKER, "i-1"}),
     )
-    return WorkerAsk.of(TicketId(NODE, 12_345), query)
+    return WorkerAsk.of(QueryId(NODE, 12_345), query)
 
 
 def test_each_message_fits_a_packet():
@@ -66,10 +66,10 @@
         socket.datagram_received(garbage, ("10.0.0.1", 7))
     [(message, sender)] = heard
     assert sender == "10.0.0.1:7" and socket.refused == 4
-    assert message.ticket_id() == TicketId(NODE, 12_345)
-    assert WorkerAsk.of(message.ticket_id(), message.query()) == message
+    assert message.query_id() == QueryId(NODE, 12_345)
+    assert WorkerAsk.of(message.query_id(), message.query()) == message
 
 
 def test_a_question_rules_so_many_workers_out_and_no_more():
     query = PlacementQuery("s", excluded=frozenset(f"i-{one}" for one in range(100)))
-    assert len(WorkerAsk.of(TicketId(NODE, 1), query).excluded) == MAX_EXCLUDED
+    assert len(WorkerAsk.of(QueryId(NODE, 1), query).excluded) == MAX_EXCLUDED
--- a/tests/unit/test_fingerprint.py
+++ b/tests/unit/test_fingerprint.py
@@ -1,13 +1,13 @@
 """The identity of a request's content."""
 
-from wheelslip.routing.fingerprint import content_fingerprint
+from wheelslip.routing.fingerprint import request_fingerprint
 
 CONTENT = ("POST", b"/a?q=1", "tenant", b"body")
 
 
 def test_the_same_content_has_the_same_fingerprint_everywhere():
-    assert content_fingerprint(*CONTENT) == content_fingerprint(*CONTENT)
-    assert content_fingerprint(*CONTENT) == "d8f6f898a491cbaa8eaa8240"
+    assert request_fingerprint(*CONTENT) == request_fingerprint(*CONTENT)
+    assert request_fingerprint(*CONTENT) == "d8f6f898a491cbaa8eaa8240"
 
 
 def test_each_part_counts_and_no_two_parts_run_into_each_other():
@@ -19,5 +19,5 @@
         ("POST", b"/a?q=1t", "enant", b"body"),
         ("POST", b"/a?q=1", "tenantb", b"ody"),
     ]
-    prints = {content_fingerprint(*one) for one in [CONTENT, *others]}
+    prints = {request_fingerprint(*one) for one in [CONTENT, *others]}
     assert len(prints) == 1 + len(others)
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -8,14 +8,14 @@
 from wheelslip.routing.cost import SchedulerOptions
 from wheelslip.routing.model import (
     RECOMPUTE_WEIGHT,
-    AskHome,
     Dispatch,
     EngineInfo,
     EngineState,
+    HomeLookup,
+    HomeUpdate,
     Refusal,
     RoutingRequest,
     ServiceClass,
-    TellHome,
 )
 from wheelslip.routing.prefix import BLOCK_TOKENS
 from wheelslip.routing.prefix_registry import (
@@ -29,7 +29,7 @@
     registry_head,
 )
 from wheelslip.routing.scheduler import Scheduler
-from wheelslip.routing.sharing import ASK_TIMEOUT_SECONDS
+from wheelslip.routing.sharing import HOME_LOOKUP_TIMEOUT_SECONDS
 
 LONG = tuple(range(1000, 1200))
 
@@ -145,10 +145,10 @@
 def test_home_is_asked_before_a_long_prefill_and_only_once():
     scheduler = asking_scheduler()
     (ask,) = scheduler.submit(request("r1", LONG), 0.0)
-    assert isinstance(ask, AskHome) and ask.head == registry_head(LONG)
+    assert isinstance(ask, HomeLookup) and ask.head == registry_head(LONG)
     assert scheduler.submit(request("r2", LONG), 0.001) == []
-    decisions = scheduler.home_answered(ask.head, (), 0.002)
-    assert len(only(decisions, Dispatch)) == 1 and len(only(decisions, TellHome)) == 1
+    decisions = scheduler.handle_home_reply(ask.head, (), 0.002)
+    assert len(only(decisions, Dispatch)) == 1 and len(only(decisions, HomeUpdate)) == 1
     assert scheduler.waiting_count == 1
 
 
@@ -156,11 +156,11 @@
     scheduler = asking_scheduler()
     (ask,) = scheduler.submit(request("r1", LONG), 0.0)
     coming = PrefixHint("b", "i1", len(LONG), 0.5, 0.0)
-    assert scheduler.home_answered(ask.head, (coming,), 0.01) == []
+    assert scheduler.handle_home_reply(ask.head, (coming,), 0.01) == []
     (again,) = scheduler.tick(0.6)
-    assert isinstance(again, AskHome)
+    assert isinstance(again, HomeLookup)
     there = PrefixHint("b", "i1", len(LONG), 0.0, 0.1)
-    (sent,) = only(scheduler.home_answered(ask.head, (there,), 0.61), Dispatch)
+    (sent,) = only(scheduler.handle_home_reply(ask.head, (there,), 0.61), Dispatch)
     assert sent.engine.name == "b"
     assert sent.predicted_cached_tokens == len(LONG) * BLOCK_TOKENS
 
@@ -169,15 +169,15 @@
     scheduler = asking_scheduler()
     (ask,) = scheduler.submit(request("r1", LONG), 0.0)
     stale = PrefixHint("b", "i0", len(LONG), 0.0, 0.1)
-    (sent,) = only(scheduler.home_answered(ask.head, (stale,), 0.01), Dispatch)
+    (sent,) = only(scheduler.handle_home_reply(ask.head, (stale,), 0.01), Dispatch)
     assert sent.predicted_cached_tokens < len(LONG) * BLOCK_TOKENS
 
 
 def test_lost_question_costs_its_timeout_only():
     scheduler = asking_scheduler()
     scheduler.submit(request("r1", LONG), 0.0)
-    assert only(scheduler.tick(ASK_TIMEOUT_SECONDS / 2), Dispatch) == []
-    assert len(only(scheduler.tick(ASK_TIMEOUT_SECONDS * 1.1), Dispatch)) == 1
+    assert only(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS / 2), Dispatch) == []
+    assert len(only(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS * 1.1), Dispatch)) == 1
 
 
 def plan(keys, name="a", ready_in=1.0):
@@ -186,28 +186,28 @@
 
 def test_registry_lets_the_first_asker_compute_and_tells_the_second():
     registry = PrefixRegistry()
-    assert registry.ask(1, plan(LONG), 0.0) == ()
-    (hint,) = registry.ask(1, plan(LONG, "b"), 0.1)
+    assert registry.lookup(1, plan(LONG), 0.0) == ()
+    (hint,) = registry.lookup(1, plan(LONG, "b"), 0.1)
     assert hint.engine == "a" and hint.blocks == len(LONG)
     assert hint.ready_in_seconds == pytest.approx(0.9)
-    registry.tell(1, plan(LONG, "a", 0.0), 1.5)
-    (hint,) = registry.ask(1, plan(LONG, "b"), 2.0)
+    registry.record(1, plan(LONG, "a", 0.0), 1.5)
+    (hint,) = registry.lookup(1, plan(LONG, "b"), 2.0)
     assert hint.ready_in_seconds == 0 and hint.idle_seconds == pytest.approx(0.5)
 
 
 def test_registry_does_not_call_an_overdue_prompt_there_and_gives_it_up_in_time():
     registry = PrefixRegistry()
-    registry.tell(1, plan(LONG), 0.0)
-    (hint,) = registry.ask(1, plan(LONG, "b"), 3.0)
+    registry.record(1, plan(LONG), 0.0)
+    (hint,) = registry.lookup(1, plan(LONG, "b"), 3.0)
     assert hint.ready_in_seconds == RECHECK_SECONDS
-    assert registry.ask(1, plan(LONG, "b"), 2.0 + GIVE_UP_LATE_SECONDS) == ()
+    assert registry.lookup(1, plan(LONG, "b"), 2.0 + GIVE_UP_LATE_SECONDS) == ()
 
 
 def test_registry_tells_how_deep_a_nested_prompt_is_shared():
     registry = PrefixRegistry()
-    registry.tell(1, plan(LONG, ready_in=0.0), 0.0)
+    registry.record(1, plan(LONG, ready_in=0.0), 0.0)
     other = LONG[:100] + tuple(range(5000, 5100))
-    (hint,) = registry.ask(1, plan(other, "b"), 0.1)
+    (hint,) = registry.lookup(1, plan(other, "b"), 0.1)
     assert hint.blocks == 100 - 100 % CHECKPOINT_BLOCKS
 
 
@@ -234,8 +234,8 @@
     for number, node in enumerate(nodes):
         for row in range(3):
             for ask in node.submit(clerks_request(f"r{number}-{row}", LONG), 0.0):
-                answers.append((node, ask.head, registry.ask(ask.head, ask.plan, 0.0)))
-    decisions = [one for node, *answer in answers for one in node.home_answered(*answer, 0.001)]
+                answers.append((node, ask.head, registry.lookup(ask.head, ask.plan, 0.0)))
+    decisions = [one for node, *answer in answers for one in node.handle_home_reply(*answer, 0.001)]
     sent = only(decisions, Dispatch)
     assert [one.request_id for one in sent] == ["r0-0"]
 
@@ -251,10 +251,10 @@
     for number in range(100):
         keys = tuple(range(10_000 * (number + 1), 10_000 * (number + 1) + len(LONG)))
         (ask,) = scheduler.submit(clerks_request(f"learn{number}", keys), 0.0)
-        scheduler.home_answered(ask.head, (), 0.0)
+        scheduler.handle_home_reply(ask.head, (), 0.0)
         cached_tokens = int(learned_share * len(keys) * BLOCK_TOKENS)
         scheduler.finished(f"learn{number}", cached_tokens, 0.0)
     (ask,) = scheduler.submit(clerks_request("r1", LONG), 0.0)
     coming = PrefixHint(ask.plan.engine, "i1", len(LONG), 1.65, 0.0)
-    assert scheduler.home_answered(ask.head, (coming,), 0.01) == []
+    assert scheduler.handle_home_reply(ask.head, (coming,), 0.01) == []
     assert scheduler.tick(1.0) == []
