--- a/src/wheelslip/routing/__init__.py
+++ b/src/wheelslip/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure routing decisions: no I/O, clock and random source injected."""
+"""Routing decisions, without I/O; clock and random source are injected."""
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -1,9 +1,9 @@
-"""Grants of workers to the requests of all nodes. Pure: clock and random source are injected.
+"""Grants workers to the requests of all nodes. No I/O: clock and random source are injected.
 
-A node asks with a number of its own; asking again with it gives the same grant. Each grant
-is a ticket until its node tells that the request has ended. Nodes list what they have
-running once in a while, so a ticket whose end was lost goes, and a dispatcher that has just
-taken over learns what runs.
+A node numbers its queries; a repeated query returns the grant that it already has. A grant is
+active until its node reports that the request has ended. Nodes also list their running requests
+periodically: a grant whose final report was lost is ended, and a dispatcher that has just taken
+over rebuilds the grants of its predecessor.
 """
 
 from collections.abc import Callable
@@ -18,25 +18,26 @@
 from wheelslip.routing.tenant_limits import Charge, NoAuthority, TenantLimits
 from wheelslip.routing.worker_allowance import LimitedChoice, WorkerAllowance
 
-UNLISTED_SECONDS = 1.0
-"""A ticket this old that its node does not list any more has ended."""
+UNLISTED_GRACE_SECONDS = 1.0
+"""Minimum age at which a grant that its node does not list is ended; a younger one may have
+been issued after the list was made."""
 
-SILENT_NODE_SECONDS = 4.0
-"""The tickets of a node that has not been heard for this long are void: nodes list what they
-have running each second."""
+NODE_TIMEOUT_SECONDS = 4.0
+"""Time without a message after which the grants of a node are ended."""
 
-SWEEP_SECONDS = 0.5
+SWEEP_INTERVAL_SECONDS = 0.5
 
-COUNTED_SECONDS = 2.0
-"""A question that only counts a request may be repeated for this long: an answer is awaited
-for less."""
+COUNT_DEDUPLICATION_SECONDS = 2.0
+"""How long a repeated count-only query is recognized; longer than a node waits for a reply."""
 
 
 class Progress(Enum):
-    """What a node tells about a request at a worker.
+    """Progress of a granted request, as its node reports it.
 
-    ``SILENT`` means that the worker did not acknowledge what it was sent,
-    ``NOT_RUN`` means that the worker refused it before it ran, ``UNUSED`` that it was not sent.
+    ``FAILED`` means that the worker failed the request, ``SILENT`` that it did not acknowledge
+    it, ``NOT_RUN`` that it rejected it because of a fault and proved not to have run it.
+    ``UNUSED`` means that the request was not sent, or was rejected without a fault.
+    ``UNREACHED`` means that the worker could not be connected to.
     """
 
     FIRST_TOKEN = "first"
@@ -49,14 +50,14 @@
 
 
 class QueryId(NamedTuple):
-    """A node's incarnation and the number of its question."""
+    """Identifies a query: the incarnation of the node and its sequence number there."""
 
     node: str
     number: int
 
 
 @dataclass
-class _Ticket:
+class _Grant:
     placement: Placement
     began_at: float
     had_first_token: bool = False
@@ -64,12 +65,12 @@
 
 
 class Dispatcher:
-    """Chooses workers for all nodes and keeps the tickets of what it has granted.
+    """Chooses workers for all nodes and tracks the active grants.
 
-    :param limits: of tenants.
-    :param allowance: this node's part of the limits that workers name.
-    :ivar grants_issued: grants since the start.
-    :ivar overload_refusals: questions that got no worker since the start, for overload.
+    :param limits: tenant rate limits.
+    :param allowance: this node's share of the rate limits that workers announce.
+    :ivar grants_issued: number of grants since the start.
+    :ivar overload_refusals: number of queries refused since the start because of overload.
     """
 
     def __init__(
@@ -85,42 +86,42 @@
         self._choice = LimitedChoice(placement, allowance)
         self._clock = clock
         self._counted: dict[QueryId, float] = {}
-        self._tickets: dict[QueryId, _Ticket] = {}
-        self._heard_at: dict[str, float] = {}
+        self._grants: dict[QueryId, _Grant] = {}
+        self._last_contact: dict[str, float] = {}
         self._swept_at = clock()
         self.grants_issued = 0
         self.overload_refusals = 0
 
     @property
     def active_grants(self) -> int:
-        """Requests that are believed to run by a grant of this dispatcher."""
-        return len(self._tickets)
+        """Number of grants whose requests have not been reported as ended."""
+        return len(self._grants)
 
     def grant(self, query_id: QueryId, query: PlacementQuery) -> Placement | None:
-        """Grant a worker; ``None`` when none may take the request now.
+        """Grant a worker; return ``None`` when no worker may take the request now.
 
-        :raises TenantLimited: when its tenant is over its limit.
-        :raises Overloaded: when none can begin it in time.
+        :raises TenantLimited: when the tenant exceeds its rate limit.
+        :raises Overloaded: when no worker can begin the request in time.
         """
-        self._hear(query_id.node)
+        self._record_contact(query_id.node)
         self._sweep()
-        known = self._tickets.get(query_id)
-        if known is not None:
-            return known.placement
+        existing = self._grants.get(query_id)
+        if existing is not None:
+            return existing.placement
         try:
             charge = self._limits.take(query)
         except NoAuthority:
-            # The node that asks follows another dispatcher in a moment.
+            # The querying node is about to follow another dispatcher.
             return None
         placement = self._place(query, charge)
         if placement is not None:
             self.grants_issued += 1
             began_at = self.placement.begin(placement)
-            self._tickets[query_id] = _Ticket(placement, began_at, charge=charge)
+            self._grants[query_id] = _Grant(placement, began_at, charge=charge)
         return placement
 
     def _place(self, query: PlacementQuery, charge: Charge | None) -> Placement | None:
-        """Choose a worker, and give back what was counted when there is none."""
+        """Choose a worker; refund the charge when there is none."""
         try:
             placement = self._choice.choose(query, self._clock())
         except Overloaded:
@@ -132,30 +133,30 @@
         return placement
 
     def count(self, query_id: QueryId, query: PlacementQuery) -> None:
-        """Count a request for its tenant's limit whose node chooses the worker by itself.
+        """Charge a request to its tenant's rate limit without choosing a worker.
 
-        :raises TenantLimited: when the tenant is over its limit.
-        :raises NoAuthority: when another node has to be asked.
+        :raises TenantLimited: when the tenant exceeds its rate limit.
+        :raises NoAuthority: when this node holds no share of the limits.
         """
-        self._hear(query_id.node)
+        self._record_contact(query_id.node)
         self._sweep()
         if query_id not in self._counted:
             self._limits.take(query)
-            self._counted[query_id] = self._clock() + COUNTED_SECONDS
+            self._counted[query_id] = self._clock() + COUNT_DEDUPLICATION_SECONDS
 
     def record_progress(self, query_id: QueryId, progress: Progress) -> None:
-        """Take what a node tells about a granted request; unknown tickets are passed over."""
-        self._hear(query_id.node)
-        ticket = self._tickets.get(query_id)
-        if ticket is None:
+        """Apply a node's progress report; reports on unknown grants are ignored."""
+        self._record_contact(query_id.node)
+        grant = self._grants.get(query_id)
+        if grant is None:
             return
-        worker_id = ticket.placement.worker.info.id
+        worker_id = grant.placement.worker.info.id
         match progress:
             case Progress.FIRST_TOKEN:
-                self._first_token(ticket)
+                self._record_first_token(grant)
                 self.placement.heard(worker_id, query_id.node)
             case Progress.ENDED:
-                if ticket.had_first_token or not ticket.placement.chain:
+                if grant.had_first_token or not grant.placement.chain:
                     self.placement.note_outcome(worker_id, failed=False)
                     self.placement.heard(worker_id, query_id.node)
                 self._end(query_id)
@@ -170,75 +171,87 @@
                 self.placement.note_outcome(worker_id, failed=True)
                 self._end_not_run(query_id)
             case Progress.UNUSED:
-                self._end_not_sent(query_id)
+                self._end_unused(query_id)
             case Progress.UNREACHED:
                 self.placement.unreached(worker_id, query_id.node)
-                self._end_not_sent(query_id)
+                self._end_unused(query_id)
 
-    def _end_not_sent(self, query_id: QueryId) -> None:
-        placement = self._tickets[query_id].placement
+    def _end_unused(self, query_id: QueryId) -> None:
+        placement = self._grants[query_id].placement
         if placement.is_counted:
             self._allowance.give_back(placement.worker.info.id)
         self._end_not_run(query_id)
 
     def _end_not_run(self, query_id: QueryId) -> None:
-        self._limits.give_back(self._tickets[query_id].charge)
+        self._limits.give_back(self._grants[query_id].charge)
         self._end(query_id)
 
-    def _first_token(self, ticket: _Ticket) -> None:
-        if not ticket.had_first_token:
-            ticket.had_first_token = True
-            self.placement.first_token(ticket.placement, ticket.began_at)
+    def _record_first_token(self, grant: _Grant) -> None:
+        if not grant.had_first_token:
+            grant.had_first_token = True
+            self.placement.first_token(grant.placement, grant.began_at)
 
     def _end(self, query_id: QueryId) -> None:
-        ticket = self._tickets.pop(query_id)
-        self.placement.end(ticket.placement, ticket.began_at, ticket.had_first_token)
+        grant = self._grants.pop(query_id)
+        self.placement.end(grant.placement, grant.began_at, grant.had_first_token)
 
-    def reconcile_running(self, node: str, asks: list[int], requests: list[RunningRequest]) -> None:
-        """Take a node's list of all that it has running by grants.
+    def reconcile_running(
+        self, node: str, numbers: list[int], requests: list[RunningRequest]
+    ) -> None:
+        """Reconcile the grants of a node with its list of running requests.
 
-        :param asks: the numbers of all of it.
-        :param requests: a part of it in full.
+        :param numbers: query numbers of all granted requests that run at the node.
+        :param requests: details of some of them, to rebuild missing grants.
         """
-        self._hear(node)
-        listed = set(asks)
+        self._record_contact(node)
+        listed = set(numbers)
         now = self._clock()
-        for query_id, ticket in list(self._tickets.items()):
+        for query_id, grant in list(self._grants.items()):
             unlisted = query_id.node == node and query_id.number not in listed
-            if unlisted and now - ticket.began_at > UNLISTED_SECONDS:
+            if unlisted and now - grant.began_at > UNLISTED_GRACE_SECONDS:
                 self._end(query_id)
-        for one in requests:
-            self._adopt(QueryId(node, one.ask), one)
-
-    def _adopt(self, query_id: QueryId, one: RunningRequest) -> None:
-        """Take over a request that another dispatcher has granted, or what was lost of it."""
-        ticket = self._tickets.get(query_id)
-        if ticket is None:
-            placement = self.placement.adopted(one)
+        for request in requests:
+            self._restore_grant(QueryId(node, request.ask), request)
+
+    def _restore_grant(self, query_id: QueryId, request: RunningRequest) -> None:
+        """Rebuild a missing grant, and apply a first-token report that was lost."""
+        grant = self._grants.get(query_id)
+        if grant is None:
+            placement = self.placement.adopted(request)
             if placement is None:
                 return
-            ticket = _Ticket(placement, self.placement.begin(placement))
-            self._tickets[query_id] = ticket
-        if one.unread_tokens == 0:
-            self._first_token(ticket)
+            grant = _Grant(placement, self.placement.begin(placement))
+            self._grants[query_id] = grant
+        if request.unread_tokens == 0:
+            self._record_first_token(grant)
 
     def record_cached_prompts(self, prompts: list[KeptPrompt]) -> None:
-        """Take over prompts that workers have read, as a node remembers them."""
-        for one in prompts:
-            self.placement.learn(one)
+        """Record prompts that workers have cached, as reported by a node."""
+        for prompt in prompts:
+            self.placement.learn(prompt)
 
-    def _hear(self, node: str) -> None:
-        self._heard_at[node] = self._clock()
+    def _record_contact(self, node: str) -> None:
+        self._last_contact[node] = self._clock()
 
     def _sweep(self) -> None:
-        """End the tickets of nodes that are silent."""
+        """Drop expired counts and end the grants of nodes that have timed out."""
         now = self._clock()
-        if now - self._swept_at < SWEEP_SECONDS:
+        if now - self._swept_at < SWEEP_INTERVAL_SECONDS:
             return
         self._swept_at = now
-        self._counted = {one: until for one, until in self._counted.items() if now < until}
-        silent = {node for node, at in self._heard_at.items() if now - at > SILENT_NODE_SECONDS}
-        for node in silent:
-            del self._heard_at[node]
-        for query_id in [one for one in self._tickets if one.node not in self._heard_at]:
+        self._counted = {
+            query_id: expires_at
+            for query_id, expires_at in self._counted.items()
+            if now < expires_at
+        }
+        timed_out = {
+            node
+            for node, contact_at in self._last_contact.items()
+            if now - contact_at > NODE_TIMEOUT_SECONDS
+        }
+        for node in timed_out:
+            del self._last_contact[node]
+        for query_id in [
+            query_id for query_id in self._grants if query_id.node not in self._last_contact
+        ]:
             self._end(query_id)
--- a/src/wheelslip/routing/fair_queue.py
+++ b/src/wheelslip/routing/fair_queue.py
@@ -1,4 +1,4 @@
-"""Weighted fair queue of waiting requests: classes first, tenants by weight, then age."""
+"""Weighted fair queue of requests: by class, priority, tenant weight and arrival."""
 
 import itertools
 from collections.abc import Iterator
@@ -13,23 +13,23 @@
 class _Entry:
     class_order: int
     priority: int
-    finish: float
-    order: int
+    finish_tag: float
+    sequence: int
     request: RoutingRequest = field(compare=False)
 
 
 class FairQueue:
-    """Orders waiting requests by class, priority and start-time fair finish tags.
+    """Orders requests by class, priority and finish tag of weighted fair queueing.
 
-    A tenant's finish tag grows by ``tokens / weight`` with each of its requests, so a
-    tenant that sends twenty times its share waits behind its own requests, not others'.
+    Each request advances its tenant's finish tag by ``tokens / weight``, so a tenant that
+    exceeds its share delays its own requests and not those of others.
     """
 
     def __init__(self):
         self._by_id: dict[str, _Entry] = {}
-        self._finish: dict[str, float] = {}
+        self._finish_tags: dict[str, float] = {}
         self._virtual_time = 0.0
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -38,34 +38,34 @@
         return request_id in self._by_id
 
     def get(self, request_id: str) -> RoutingRequest | None:
-        """Return a waiting request."""
+        """Return a queued request; ``None`` when it is not queued."""
         entry = self._by_id.get(request_id)
         return entry.request if entry else None
 
     def push(self, request: RoutingRequest) -> None:
-        """Add a request."""
-        start = max(self._virtual_time, self._finish.get(request.tenant, 0.0))
+        """Enqueue a request."""
+        start_tag = max(self._virtual_time, self._finish_tags.get(request.tenant, 0.0))
         work = request.prompt_tokens + request.output_tokens
-        finish = start + work / request.weight
-        self._finish[request.tenant] = finish
+        finish_tag = start_tag + work / request.weight
+        self._finish_tags[request.tenant] = finish_tag
         entry = _Entry(
             _CLASS_ORDER[request.service_class],
             request.priority,
-            finish,
-            next(self._order),
+            finish_tag,
+            next(self._sequence),
             request,
         )
         self._by_id[request.request_id] = entry
 
     def remove(self, request_id: str) -> RoutingRequest | None:
-        """Take a request out, wherever it stands; ``None`` when it is not queued."""
+        """Remove and return a request from any position; ``None`` when it is not queued."""
         entry = self._by_id.pop(request_id, None)
         if entry is None:
             return None
-        self._virtual_time = max(self._virtual_time, entry.finish)
+        self._virtual_time = max(self._virtual_time, entry.finish_tag)
         return entry.request
 
     def in_order(self) -> Iterator[RoutingRequest]:
-        """Yield the waiting requests in service order; the queue must not change meanwhile."""
+        """Yield the queued requests in service order."""
         for entry in sorted(self._by_id.values()):
             yield entry.request
--- a/src/wheelslip/routing/model.py
+++ b/src/wheelslip/routing/model.py
@@ -1,4 +1,4 @@
-"""Typed values that the routing core takes and gives."""
+"""Types of the scheduler's inputs and decisions."""
 
 import enum
 from collections.abc import Callable
@@ -9,22 +9,22 @@
 
 
 class ServiceClass(enum.StrEnum):
-    """How a workload weighs waiting: people at a counter, or callers who can wait."""
+    """Latency class of a workload: interactive use, or callers that tolerate waiting."""
 
     INTERACTIVE = "interactive"
     PATIENT = "patient"
 
 
 ENGINE_PRIORITY = {ServiceClass.INTERACTIVE: 0, ServiceClass.PATIENT: 100}
-"""Engine priorities by class; lower runs first. A policy's priority is added."""
+"""Base priority sent to the engine, lower runs first; a policy's priority is added."""
 
 RECOMPUTE_WEIGHT = {ServiceClass.INTERACTIVE: 2.0, ServiceClass.PATIENT: 4.0}
-"""Seconds of waiting worth one second of computing a prompt again. Above one, because that
-second is also taken from everybody else at the engine; patient callers wait longer."""
+"""Seconds of waiting that equal one second of prefill in the cost of an engine. Above one,
+since a prefill also delays the other requests at the engine."""
 
 
 class EngineState(enum.StrEnum):
-    """Whether an engine takes new work."""
+    """Lifecycle state of an engine; only a serving one is sent new requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True)
 class EngineInfo:
-    """What nodes tell each other about one engine.
+    """Description of an engine, replicated between nodes.
 
-    :param incarnation: new at every start of the engine process.
+    :param incarnation: identifies one run of the engine process.
     """
 
     name: str
@@ -49,13 +49,15 @@
 
 @dataclass
 class RoutingRequest:
-    """One request as the scheduler sees it.
+    """A request to be scheduled.
 
     :param keys_for: returns the prefix keys of the prompt under a weights version.
     :param arrived: seconds on the scheduler's clock.
-    :param deadline: latest time of the first token, on the same clock.
-    :param weight: the tenant's share in the fair queue.
-    :param excluded: engines that this request must not be sent to again.
+    :param deadline: time after which the request is refused if it is still queued, same clock.
+    :param weight: weight of the tenant in the fair queue.
+    :param priority: order within the service class, lower first.
+    :param recompute_weight: see :data:`RECOMPUTE_WEIGHT`.
+    :param excluded: names of engines that the request must not be sent to.
     """
 
     request_id: str
@@ -74,7 +76,7 @@
     _keys: dict[str, tuple[int, ...]] = field(default_factory=dict)
 
     def keys(self, weights_version: str) -> tuple[int, ...]:
-        """Return the prefix keys under ``weights_version``, computed once."""
+        """Return the prefix keys for a weights version; cached after the first call."""
         if weights_version not in self._keys:
             self._keys[weights_version] = self.keys_for(weights_version)
         return self._keys[weights_version]
@@ -82,13 +84,15 @@
 
 @dataclass(frozen=True)
 class LongPrefill:
-    """Why a long prompt is computed now, for the log.
-
-    :param uncached_tokens: what this node does not know to be cached.
-    :param guessed_tokens: what is taken to be cached all the same, since other nodes send there.
-    :param cost_seconds: what the engine costs the request.
-    :param following: engine and cost of each computation of the same prompt that was not
-        waited for.
+    """Details of a dispatch that causes a long prefill, for the log.
+
+    :param uncached_tokens: prompt tokens that are not in this node's prefix index.
+    :param guessed_tokens: those of them that the home engine is estimated to have cached
+        because of requests from other nodes.
+    :param waited_seconds: time since the request's arrival.
+    :param cost_seconds: cost of the chosen engine for the request.
+    :param following: name and cost of each active prefill of the same prefix that the request
+        does not wait for.
     """
 
     uncached_tokens: int
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """The scheduler's decision to send a request to one engine incarnation."""
+    """Decision to send a request to one engine incarnation."""
 
     request_id: str
     engine: EngineInfo
@@ -110,7 +114,7 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """The scheduler's decision to give a request up now."""
+    """Decision to refuse a request."""
 
     request_id: str
     kind: ErrorKind
@@ -119,7 +123,7 @@
 
 @dataclass(frozen=True)
 class HomeLookup:
-    """Ask a prefix's home node before computing the prefix; requests wait meanwhile."""
+    """Look up a prefix at its home node; requests for it wait for the reply."""
 
     head: int
     plan: PrefixPlan
@@ -127,7 +131,7 @@
 
 @dataclass(frozen=True)
 class HomeUpdate:
-    """Tell a prefix's home node where it is computed or was just used."""
+    """Report to a prefix's home node where it is being computed or was last used."""
 
     head: int
     plan: PrefixPlan
--- a/src/wheelslip/routing/prefix.py
+++ b/src/wheelslip/routing/prefix.py
@@ -1,8 +1,8 @@
 """Prefix keys: a hash chain over blocks of prompt text.
 
-Two prompts share the first ``n`` keys only when their first ``n`` blocks are equal and
-they have the same cache salt. The salt already holds tenant, model and weights version
-(:func:`cache_salt`), so a key of another tenant or of older weights never matches.
+Two prompts share the first ``n`` keys only if their first ``n`` blocks and their cache salts are
+equal. The salt is derived from tenant, model and weights version (:func:`cache_salt`), so keys
+of another tenant or of other weights never match.
 """
 
 import hashlib
@@ -11,10 +11,10 @@
 import xxhash
 
 BYTES_PER_TOKEN = 4
-"""Estimated prompt bytes for one token; it scales costs and never affects correctness."""
+"""Estimated prompt bytes per token; used for costs only."""
 
 BLOCK_TOKENS = 64
-"""Tokens in one cache block."""
+"""Tokens per cache block."""
 
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 
@@ -31,19 +31,19 @@
 
 
 def prefix_keys(salt: str, text: str) -> tuple[int, ...]:
-    """Return one 64-bit key for each whole block of ``text``."""
+    """Return one 64-bit key per complete block of ``text``."""
     data = text.encode()
     key = xxhash.xxh3_64_intdigest(salt.encode())
     keys = []
-    whole_blocks_end = len(data) - len(data) % BLOCK_BYTES
-    for start, end in pairwise(range(0, whole_blocks_end + 1, BLOCK_BYTES)):
+    complete_blocks_end = len(data) - len(data) % BLOCK_BYTES
+    for start, end in pairwise(range(0, complete_blocks_end + 1, BLOCK_BYTES)):
         key = xxhash.xxh3_64_intdigest(data[start:end], seed=key)
         keys.append(key)
     return tuple(keys)
 
 
 def render_chat(messages: list[dict]) -> str:
-    """Return the prompt text of a chat, as the template of the engines renders it."""
+    """Return the prompt text of a chat, rendered like the chat template of the engines."""
     parts = []
     for message in messages:
         parts.append(f"<|{message.get('role', '')}|>{content_text(message.get('content'))}")
@@ -51,7 +51,7 @@
 
 
 def content_text(content: object) -> str:
-    """Return the text of a message content: a string, or the OpenAI list of text parts."""
+    """Return the text of a message content: a string or an OpenAI list of content parts."""
     if isinstance(content, str):
         return content
     if not isinstance(content, list):
--- a/src/wheelslip/routing/prefix_registry.py
+++ b/src/wheelslip/routing/prefix_registry.py
@@ -1,8 +1,8 @@
-"""What a prefix's home node knows of it: which engines hold it or are computing it.
+"""Registry at a prefix's home node of the engines that have it cached or are computing it.
 
-Each long prefix has a home among the nodes, by rendezvous hashing. A node that is about to
-compute one asks its home first, in one round trip, and tells it what it does; so nodes share
-what they warmed without sending it to everybody. Hints only: a lost message costs time.
+Each long prefix has a home node, chosen by rendezvous hashing. A node that is about to compute
+a prefix looks it up at the home node and reports the computation there, so that nodes share
+cached prefixes without broadcasting. Entries are hints; a lost message only costs time.
 """
 
 from collections import OrderedDict
@@ -11,30 +11,31 @@
 import msgspec
 
 REGISTRY_HEAD_BLOCKS = 16
-"""Blocks (1,024 tokens) whose key names the home, so that all that is nested meets there."""
+"""Depth of the block whose key selects the home node; prompts that share it share the home."""
 
 CHECKPOINT_BLOCKS = 8
-"""Blocks (512 tokens) between the depths at which two prompts are compared."""
+"""Blocks between the depths at which two prompts are compared."""
 
 MAX_CHECKPOINTS = 96
 
-NEARLY_WHOLE_CHECKPOINTS = 2
-"""A hint this near to the end of a prompt is as good as all of it."""
+HINT_TOLERANCE_CHECKPOINTS = 2
+"""Checkpoints by which a hint may fall short of a prompt and still count as complete."""
 
-RECHECK_SECONDS = 0.5
-"""When to ask again for a prompt that is overdue."""
+OVERDUE_RECHECK_SECONDS = 0.5
+"""Ready time reported for an overdue prefill, after which nodes repeat the lookup."""
 
-GIVE_UP_LATE_SECONDS = 10.0
-"""A prompt this long overdue is taken to be lost with its sender."""
+OVERDUE_EXPIRY_SECONDS = 10.0
+"""Time after which an overdue prefill is considered lost."""
 
 MAX_HEADS = 4096
-MAX_RECORDS_OF_HEAD = 16
+MAX_RECORDS_PER_HEAD = 16
 _KEY_MASK = 0xFFFF
 
 
 class PrefixPlan(msgspec.Struct, frozen=True, array_like=True):
-    """Where a prompt is computed, and in how many seconds it will be there.
+    """The engine that computes a prompt, and the seconds until it is cached there.
 
+    :param ready_in_seconds: 0 when the prompt is cached already.
     :param checkpoints: truncated prefix keys at every :data:`CHECKPOINT_BLOCKS` blocks.
     """
 
@@ -45,9 +46,10 @@
 
 
 class PrefixHint(msgspec.Struct, frozen=True, array_like=True):
-    """Blocks of a prompt that an engine is believed to hold, or to hold soon.
+    """Leading blocks of a prompt that an engine has cached or is computing.
 
-    :param idle_seconds: since the blocks were last used, as far as the home knows.
+    :param ready_in_seconds: 0 when the blocks are cached already.
+    :param idle_seconds: time since the last reported use of the blocks.
     """
 
     engine: str
@@ -58,12 +60,12 @@
 
 
 def registry_head(keys: tuple[int, ...]) -> int | None:
-    """Return the key that names a prompt's home node; ``None`` for short prompts."""
+    """Return the key that selects a prompt's home node; ``None`` for short prompts."""
     return keys[REGISTRY_HEAD_BLOCKS - 1] if len(keys) >= REGISTRY_HEAD_BLOCKS else None
 
 
 def checkpoints(keys: tuple[int, ...]) -> tuple[int, ...]:
-    """Return a prompt's checkpoints."""
+    """Return the truncated keys at every :data:`CHECKPOINT_BLOCKS` blocks of a prompt."""
     last = CHECKPOINT_BLOCKS * MAX_CHECKPOINTS
     return tuple(key & _KEY_MASK for key in keys[CHECKPOINT_BLOCKS - 1 : last : CHECKPOINT_BLOCKS])
 
@@ -78,7 +80,7 @@
 
 @dataclass
 class PrefixRegistry:
-    """Records of the heads whose home this node is, the least recently asked dropped first."""
+    """Records by head key; the least recently updated heads are evicted first."""
 
     _heads: OrderedDict[int, list[tuple[str, _Record]]] = field(default_factory=OrderedDict)
 
@@ -86,30 +88,29 @@
         return len(self._heads)
 
     def lookup(self, head: int, plan: PrefixPlan, now: float) -> tuple[PrefixHint, ...]:
-        """Return what is known; without anything as deep, the asker's plan is recorded.
+        """Return hints for a prompt; record the requester's plan when none is deep enough.
 
-        Recording at once means that of two nodes that ask at the same moment only the first
-        computes.
+        The plan is recorded at once, so that only the first of several nodes computes a prefix.
         """
         hints = self._hints(head, plan.checkpoints, now)
         deepest = max((hint.blocks for hint in hints), default=0)
-        if deepest < (len(plan.checkpoints) - NEARLY_WHOLE_CHECKPOINTS) * CHECKPOINT_BLOCKS:
+        if deepest < (len(plan.checkpoints) - HINT_TOLERANCE_CHECKPOINTS) * CHECKPOINT_BLOCKS:
             self.record(head, plan, now)
         return hints
 
     def record(self, head: int, plan: PrefixPlan, now: float) -> None:
-        """Record where a prompt is computed or was just used."""
+        """Record where a prompt is being computed or was last used."""
         records = self._heads.setdefault(head, [])
         self._heads.move_to_end(head)
         ready_at = now + plan.ready_in_seconds
-        kept = [
+        others = [
             (engine, record)
             for engine, record in records
             if engine != plan.engine or record.checkpoints != plan.checkpoints
         ]
         computed = plan.ready_in_seconds == 0
         record = _Record(plan.incarnation, plan.checkpoints, ready_at, computed)
-        self._heads[head] = [*kept, (plan.engine, record)][-MAX_RECORDS_OF_HEAD:]
+        self._heads[head] = [*others, (plan.engine, record)][-MAX_RECORDS_PER_HEAD:]
         while len(self._heads) > MAX_HEADS:
             self._heads.popitem(last=False)
 
@@ -118,21 +119,21 @@
         for engine, record in self._heads.get(head, ()):
             blocks = _shared_depth(wanted, record.checkpoints)
             if blocks:
-                if not record.computed and now - record.ready_at > GIVE_UP_LATE_SECONDS:
+                if not record.computed and now - record.ready_at > OVERDUE_EXPIRY_SECONDS:
                     continue
-                # A prompt that is overdue is not there yet: only its sender's word counts.
-                late = 0.0 if record.computed else RECHECK_SECONDS
-                ready_in = max(late, record.ready_at - now)
+                # An overdue prefill is not ready until its node reports completion.
+                earliest = 0.0 if record.computed else OVERDUE_RECHECK_SECONDS
+                ready_in = max(earliest, record.ready_at - now)
                 idle = max(0.0, now - record.ready_at)
                 hints.append(PrefixHint(engine, record.incarnation, blocks, ready_in, idle))
         return tuple(hints)
 
 
 def _shared_depth(first: tuple[int, ...], second: tuple[int, ...]) -> int:
-    """Return the depth up to which two prompts agree, in blocks."""
+    """Return the depth in blocks up to which the checkpoints of two prompts agree."""
     depth = 0
-    for mine, theirs in zip(first, second, strict=False):
-        if mine != theirs:
+    for first_key, second_key in zip(first, second, strict=False):
+        if first_key != second_key:
             break
         depth += CHECKPOINT_BLOCKS
     return depth
--- a/src/wheelslip/routing/rendezvous.py
+++ b/src/wheelslip/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: placement that every node computes alike without talking."""
+"""Rendezvous hashing: consistent selection without coordination between nodes."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return ``candidates`` in the order of their rendezvous weight for ``key``."""
+    """Return ``candidates`` in descending order of rendezvous weight for ``key``."""
     return sorted(candidates, key=lambda name: (-_weight(key, name), name))
 
 
 def owner(key: str, candidates: Iterable[str]) -> str | None:
-    """Return the candidate with the highest weight for ``key``; ``None`` without any."""
+    """Return the candidate with the highest weight for ``key``; ``None`` when there are none."""
     return min(candidates, key=lambda name: (-_weight(key, name), name), default=None)
 
 
--- a/src/wheelslip/routing/scheduler.py
+++ b/src/wheelslip/routing/scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduler: which engine answers a request, what waits and what is refused.
+"""Request scheduling for one node: dispatch to an engine, queueing and refusal.
 
-Pure and single-threaded: callers pass ``now`` and carry out the decisions returned. The
-same class runs in the node's router task and in the replay in virtual time. What an engine
-costs a request is in :mod:`wheelslip.routing.cost`.
+The scheduler performs no I/O and is single-threaded: callers pass ``now`` and carry out the
+decisions that it returns. The router task and the discrete-event simulation use the same class.
+The cost of an engine for a request is computed in :mod:`wheelslip.routing.cost`.
 """
 
 import random
@@ -31,26 +31,32 @@
 from wheelslip.routing.prefix import BLOCK_TOKENS
 from wheelslip.routing.prefix_registry import PrefixHint, registry_head
 from wheelslip.routing.retry import Circuit
-from wheelslip.routing.sharing import SHARE_MIN_TOKENS, PrefixSharing
+from wheelslip.routing.sharing import LONG_PREFILL_MIN_TOKENS, PrefixRegistryClient
 
-REFUSAL_RETRY_SECONDS = 1.0
+MIN_RETRY_AFTER_SECONDS = 1.0
 _DEPARTURE_SMOOTHING = 0.1
 
 
 @dataclass(frozen=True)
-class _Sent:
-    """A request at an engine, and what this node believed of its prompt there."""
+class _InFlightRequest:
+    """A request sent to an engine, with what was assumed about its cached prefix.
+
+    :ivar is_home_estimate: the engine was the rendezvous home and the prefix index had no
+        block of the prompt there, so the cached share was estimated.
+    :ivar first_block_age: seconds since the first block was last used when the request was
+        sent; ``None`` when it was not in the prefix index.
+    """
 
     request: RoutingRequest
     engine: EngineInfo
     keys: tuple[int, ...]
-    to_home_unknown: bool
-    head_age: float | None
+    is_home_estimate: bool
+    first_block_age: float | None
 
 
 @dataclass
 class _DepartureRate:
-    """Smoothed time between requests leaving engines: how fast a queue moves."""
+    """Exponentially smoothed time between request completions, to predict queueing time."""
 
     mean_seconds: float | None = None
     last_at: float | None = None
@@ -65,7 +71,7 @@
 
 
 class Scheduler:
-    """Decides for one node. Not thread-safe: one task owns it."""
+    """Schedules the requests of one node. Not thread-safe."""
 
     def __init__(self, options: SchedulerOptions, random_source: random.Random):
         self._options = options
@@ -73,33 +79,33 @@
         self._engines: dict[str, EngineView] = {}
         self._index = PrefixIndex()
         self._queue = FairQueue()
-        self._sent: dict[str, _Sent] = {}
+        self._in_flight: dict[str, _InFlightRequest] = {}
         self._prefills = PrefillBoard()
-        self._sharing = PrefixSharing(options.ask_timeout_seconds)
+        self._registry_client = PrefixRegistryClient(options.ask_timeout_seconds)
         self._chooser = EngineChooser(options, self._engines, self._index, self._prefills)
         self._departures = _DepartureRate()
 
     @property
     def waiting_count(self) -> int:
-        """Requests waiting at this node."""
+        """Number of requests queued at this node."""
         return len(self._queue)
 
     @property
     def running_count(self) -> int:
-        """Requests this node has at engines."""
-        return len(self._sent)
+        """Number of requests that this node has in flight at engines."""
+        return len(self._in_flight)
 
     @property
     def known_blocks(self) -> int:
-        """Blocks in the prefix index."""
+        """Number of blocks in the prefix index."""
         return len(self._index)
 
     def engines(self) -> list[EngineInfo]:
-        """Return the engines in view."""
+        """Return the registered engines."""
         return [view.info for view in self._engines.values()]
 
     def update_engine(self, info: EngineInfo, now: float) -> list[Decision]:
-        """Take new facts of an engine; a new incarnation starts with nothing cached."""
+        """Add or update an engine; a new incarnation starts with an empty cache."""
         view = self._engines.get(info.name)
         if view is None or view.info.incarnation != info.incarnation:
             self._engines[info.name] = EngineView(info, Circuit(info.incarnation))
@@ -110,126 +116,137 @@
         return self.tick(now)
 
     def remove_engine(self, name: str) -> None:
-        """Forget an engine that is gone."""
+        """Remove an engine and its state."""
         self._engines.pop(name, None)
-        self._index.forget_engine(name)
+        self._index.discard_engine(name)
         self._prefills.remove_engine(name)
 
     def submit(self, request: RoutingRequest, now: float) -> list[Decision]:
-        """Take a request: it is sent, queued or refused."""
+        """Dispatch, queue or refuse a new request."""
         if not any(eligible(view, request) for view in self._engines.values()):
-            return [self._refuse(request, ErrorKind.NO_ENGINE, REFUSAL_RETRY_SECONDS)]
+            return [self._refuse(request, ErrorKind.NO_ENGINE, MIN_RETRY_AFTER_SECONDS)]
         if len(self._queue) >= self._options.max_waiting:
-            return [self._refuse(request, ErrorKind.QUEUE_FULL, REFUSAL_RETRY_SECONDS)]
+            return [self._refuse(request, ErrorKind.QUEUE_FULL, MIN_RETRY_AFTER_SECONDS)]
         self._queue.push(request)
         decisions = self.tick(now)
-        if request.request_id in self._queue and self._is_hopeless(request, now):
+        if request.request_id in self._queue and self._misses_deadline(request, now):
             self._queue.remove(request.request_id)
             wait = self._retry_after_seconds()
             decisions.append(self._refuse(request, ErrorKind.DEADLINE_UNREACHABLE, wait))
         return decisions
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected or whose dispatch was not used."""
         self._queue.remove(request_id)
         return self._release(request_id, now)
 
     def first_token(self, request_id: str, now: float) -> list[Decision]:
-        """Learn that a prompt is computed: its blocks are cached and followers may go."""
-        sent = self._sent.get(request_id)
-        view = self._view_of(sent)
+        """Record the end of a prefill: its blocks are cached and its followers may be sent."""
+        in_flight = self._in_flight.get(request_id)
+        view = self._view_of(in_flight)
         prefill = self._prefills.remove(request_id)
         if view is None:
             return self.tick(now)
         view.record_first_token(request_id, now)
-        self._index.record_stored(sent.engine.name, sent.engine.incarnation, sent.keys, now)
-        long_prefill = prefill is not None and prefill.uncached_tokens >= SHARE_MIN_TOKENS
-        news = self._news(sent, 0.0, now, urgent=True) if long_prefill else []
-        return news + self.tick(now)
+        self._index.record_stored(
+            in_flight.engine.name, in_flight.engine.incarnation, in_flight.keys, now
+        )
+        long_prefill = prefill is not None and prefill.uncached_tokens >= LONG_PREFILL_MIN_TOKENS
+        updates = self._home_updates(in_flight, 0.0, now, urgent=True) if long_prefill else []
+        return updates + self.tick(now)
 
     def finished(self, request_id: str, cached_tokens: int | None, now: float) -> list[Decision]:
-        """Learn that an answer is complete and how much of its prompt was cached."""
-        sent = self._sent.get(request_id)
-        view = self._view_of(sent)
+        """Record a completed request.
+
+        :param cached_tokens: prompt tokens that the engine found in its cache; ``None`` when
+            it did not report them.
+        """
+        in_flight = self._in_flight.get(request_id)
+        view = self._view_of(in_flight)
         if view is not None:
             view.circuit.record_success()
             if cached_tokens is not None:
-                uncached = sent.request.prompt_tokens - cached_tokens
+                uncached = in_flight.request.prompt_tokens - cached_tokens
                 view.record_prefill_rate(request_id, uncached)
             if self._options.feedback and cached_tokens is not None:
-                engine = sent.engine
-                if sent.to_home_unknown:
-                    self._chooser.learn_home(sent.keys, cached_tokens)
+                engine = in_flight.engine
+                if in_flight.is_home_estimate:
+                    self._chooser.learn_home(in_flight.keys, cached_tokens)
                 self._index.record_answer(
-                    engine.name, engine.incarnation, sent.keys, cached_tokens, sent.head_age, now
+                    engine.name,
+                    engine.incarnation,
+                    in_flight.keys,
+                    cached_tokens,
+                    in_flight.first_block_age,
+                    now,
                 )
-        news = self._news(sent, 0.0, now) if view is not None else []
-        return news + self._release(request_id, now)
+        updates = self._home_updates(in_flight, 0.0, now) if view is not None else []
+        return updates + self._release(request_id, now)
 
     def failed(self, request_id: str, now: float) -> list[Decision]:
-        """Learn that an engine did not answer; opens its circuit after a few."""
-        view = self._view_of(self._sent.get(request_id))
+        """Record that an engine did not respond; repeated failures open its circuit."""
+        view = self._view_of(self._in_flight.get(request_id))
         if view is not None:
             view.circuit.record_failure(now, self._random)
         return self._release(request_id, now)
 
     def observe_load(self, engine: str, running: int, waiting: int, now: float) -> None:
-        """Take a load report, in band or from the engine's status."""
+        """Record a load report from a response or from the engine's status endpoint."""
         view = self._engines.get(engine)
         if view is not None:
             view.record_load(running, waiting, now)
 
     def record_stored(self, engine: str, incarnation: str, keys: tuple[int, ...], now: float):
-        """Learn from elsewhere that an engine holds blocks."""
+        """Record blocks that an engine holds according to an external source."""
         self._index.record_stored(engine, incarnation, keys, now)
 
     def handle_home_reply(
         self, head: int, hints: tuple[PrefixHint, ...], now: float
     ) -> list[Decision]:
-        """Take what a prefix's home node knows; waiting requests are placed with it."""
-        asked = self._sharing.answered(head, now)
-        if asked is None:
+        """Apply the hints of a prefix's home node and schedule the waiting requests."""
+        keys = self._registry_client.record_reply(head, now)
+        if keys is None:
             return []
         for hint in hints:
             view = self._engines.get(hint.engine)
             if view is None or view.info.incarnation != hint.incarnation:
                 continue
-            keys = asked[: hint.blocks]
+            hint_keys = keys[: hint.blocks]
             if hint.ready_in_seconds > 0:
                 end = now + hint.ready_in_seconds
-                elsewhere = Prefill(hint.engine, keys, now, end, elsewhere=head)
-                self._prefills.add(f"{hint.engine}/{head}", elsewhere)
+                prefill = Prefill(hint.engine, hint_keys, now, end, elsewhere=head)
+                self._prefills.add(f"{hint.engine}/{head}", prefill)
             else:
                 used_at = now - hint.idle_seconds
-                self._index.record_stored(hint.engine, hint.incarnation, keys, used_at)
+                self._index.record_stored(hint.engine, hint.incarnation, hint_keys, used_at)
         return self.tick(now)
 
     def tick(self, now: float) -> list[Decision]:
-        """Send what can be sent and refuse what cannot make its deadline."""
+        """Dispatch the requests that can be sent and refuse those past their deadline."""
         for head in self._prefills.remove_due_elsewhere(now):
-            self._sharing.forget(head)
+            self._registry_client.invalidate(head)
         decisions: list[Decision] = []
-        following: dict[str, float] = {}
+        follower_seconds: dict[str, float] = {}
         for request in self._service_order():
             if now > request.deadline:
                 self._queue.remove(request.request_id)
                 wait = self._retry_after_seconds()
                 decisions.append(self._refuse(request, ErrorKind.DEADLINE_UNREACHABLE, wait))
                 continue
-            choice = self._chooser.choose(request, now, following)
+            choice = self._chooser.choose(request, now, follower_seconds)
             if choice is None:
                 continue
-            question = self._question(request, choice, now)
-            if question is not None:
-                decisions += question
+            lookups = self._home_lookups(request, choice, now)
+            if lookups is not None:
+                decisions += lookups
                 continue
             self._queue.remove(request.request_id)
-            long_prefill = self._long_prefill(request, choice, now, following)
+            long_prefill = self._long_prefill(request, choice, now, follower_seconds)
             decisions += self._send(request, choice, long_prefill, now)
         return decisions
 
     def next_wakeup(self, now: float) -> float | None:
-        """Return when :meth:`tick` is next worth calling, on the same clock."""
+        """Return when to call :meth:`tick` next; ``None`` when the queue is empty."""
         deadlines = [request.deadline for request in self._queue.in_order()]
         if not deadlines:
             return None
@@ -241,43 +258,47 @@
             waiting.sort(key=lambda request: request.arrived)
         return waiting
 
-    def _question(
+    def _home_lookups(
         self, request: RoutingRequest, choice: Choice, now: float
     ) -> list[Decision] | None:
-        """Return the question that comes before so long a prefill; ``None`` to go ahead.
+        """Return the lookup to send to the home node before a long prefill.
 
-        An empty list means that the question is under way.
+        ``None`` when the request can be dispatched; an empty list while a lookup is pending.
         """
         uncached = request.prompt_tokens - choice.known_blocks * BLOCK_TOKENS
-        if not self._options.ask_home or uncached < SHARE_MIN_TOKENS:
+        if not self._options.ask_home or uncached < LONG_PREFILL_MIN_TOKENS:
             return None
         engine = choice.engine
         keys = request.keys(engine.info.weights_version)
         head = registry_head(keys)
-        if head is None or self._sharing.has_answer(head, now):
+        if head is None or self._registry_client.is_resolved(head, now):
             return None
         seconds = choice.wait_seconds + engine.prefill_seconds(uncached)
-        return self._sharing.ask(head, keys, engine.info, seconds, now)
+        return self._registry_client.lookup(head, keys, engine.info, seconds, now)
 
-    def _news(
-        self, sent: _Sent, seconds: float, now: float, urgent: bool = False
+    def _home_updates(
+        self, in_flight: _InFlightRequest, seconds: float, now: float, urgent: bool = False
     ) -> list[Decision]:
         if not self._options.ask_home:
             return []
-        return self._sharing.news(sent.engine, sent.keys, seconds, now, urgent)
+        return self._registry_client.update(in_flight.engine, in_flight.keys, seconds, now, urgent)
 
     def _long_prefill(
-        self, request: RoutingRequest, choice: Choice, now: float, following: dict[str, float]
+        self,
+        request: RoutingRequest,
+        choice: Choice,
+        now: float,
+        follower_seconds: dict[str, float],
     ) -> LongPrefill | None:
         uncached = request.prompt_tokens - choice.known_blocks * BLOCK_TOKENS
-        if uncached < SHARE_MIN_TOKENS:
+        if uncached < LONG_PREFILL_MIN_TOKENS:
             return None
         return LongPrefill(
             uncached_tokens=uncached,
             guessed_tokens=choice.cached_tokens - (request.prompt_tokens - uncached),
             waited_seconds=round(now - request.arrived, 3),
             cost_seconds=round(choice.cost_seconds, 3),
-            following=self._chooser.passed_over(request, choice, now, following),
+            following=self._chooser.passed_over(request, choice, now, follower_seconds),
         )
 
     def _send(
@@ -288,21 +309,21 @@
         uncached = max(1, request.prompt_tokens - choice.cached_tokens)
         expected = now + choice.wait_seconds + view.prefill_seconds(uncached)
         view.record_sent(request.request_id, uncached, now)
-        unknown = choice.is_home and choice.known_blocks == 0
-        head_age = self._index.head_age(view.info.name, keys, now)
-        sent = _Sent(request, view.info, keys, unknown, head_age)
-        self._sent[request.request_id] = sent
-        news: list[Decision] = []
+        is_home_estimate = choice.is_home and choice.known_blocks == 0
+        first_block_age = self._index.first_block_age(view.info.name, keys, now)
+        in_flight = _InFlightRequest(request, view.info, keys, is_home_estimate, first_block_age)
+        self._in_flight[request.request_id] = in_flight
+        updates: list[Decision] = []
         if uncached >= FOLLOW_MIN_TOKENS:
             prefill = Prefill(view.info.name, keys, now, expected, uncached)
             self._prefills.add(request.request_id, prefill)
-        if uncached >= SHARE_MIN_TOKENS:
-            news = self._news(sent, expected - now, now, urgent=True)
+        if uncached >= LONG_PREFILL_MIN_TOKENS:
+            updates = self._home_updates(in_flight, expected - now, now, urgent=True)
         dispatch = Dispatch(request.request_id, view.info, choice.cached_tokens, long_prefill)
-        return [dispatch, *news]
+        return [dispatch, *updates]
 
-    def _is_hopeless(self, request: RoutingRequest, now: float) -> bool:
-        """Whether the requests ahead will take longer than the deadline allows."""
+    def _misses_deadline(self, request: RoutingRequest, now: float) -> bool:
+        """Return whether the predicted queueing time exceeds the request's deadline."""
         if self._departures.mean_seconds is None:
             return False
         ahead = 0
@@ -313,21 +334,21 @@
         return now + (ahead + 1) * self._departures.mean_seconds > request.deadline
 
     def _release(self, request_id: str, now: float) -> list[Decision]:
-        sent = self._sent.pop(request_id, None)
+        in_flight = self._in_flight.pop(request_id, None)
         self._prefills.remove(request_id)
-        if sent is not None:
+        if in_flight is not None:
             self._departures.record(now)
-            view = self._engines.get(sent.engine.name)
+            view = self._engines.get(in_flight.engine.name)
             if view is not None:
                 view.in_flight.pop(request_id, None)
         return self.tick(now)
 
-    def _view_of(self, sent: _Sent | None) -> EngineView | None:
-        """Return the view of the incarnation a request was sent to, if it still lives."""
-        if sent is None:
+    def _view_of(self, in_flight: _InFlightRequest | None) -> EngineView | None:
+        """Return the view of the incarnation a request was sent to; ``None`` once replaced."""
+        if in_flight is None:
             return None
-        view = self._engines.get(sent.engine.name)
-        if view is None or view.info.incarnation != sent.engine.incarnation:
+        view = self._engines.get(in_flight.engine.name)
+        if view is None or view.info.incarnation != in_flight.engine.incarnation:
             return None
         return view
 
@@ -337,4 +358,4 @@
         return Refusal(request.request_id, kind, retry_after_seconds)
 
     def _retry_after_seconds(self) -> float:
-        return max(REFUSAL_RETRY_SECONDS, len(self._queue) * (self._departures.mean_seconds or 0))
+        return max(MIN_RETRY_AFTER_SECONDS, len(self._queue) * (self._departures.mean_seconds or 0))
--- a/src/wheelslip/routing/separation.py
+++ b/src/wheelslip/routing/separation.py
@@ -1,9 +1,8 @@
-"""Keeps long prompts and running streams on different workers.
+"""Separation of long and short requests by worker.
 
-A worker reads a prompt piece by piece between the tokens of its running streams, so every
-stream beside a long prompt stands still for as long as a piece takes. Each node sets the
-same few workers aside for short requests, by rendezvous hashing and the shares of its own
-traffic, and so nodes agree without talking.
+Chunked prefill stalls the running streams of a worker for the duration of each chunk. A few
+workers are therefore reserved for short requests. Nodes select them by rendezvous hashing, sized
+by the shares of their own traffic, so that they mostly agree without coordination.
 """
 
 import math
@@ -11,45 +10,56 @@
 
 from wheelslip.routing import rendezvous
 
-MEMORY_SECONDS = 10.0
-"""Time constant over which the shares of long and short requests are counted."""
+DECAY_SECONDS = 10.0
+"""Time constant of the decay of recorded requests."""
 
-SHORT_FACTOR = 1.5
-"""Workers for short requests, as a multiple of their share of the reading time: streams run
-on after their prompt was read."""
+SHORT_WORKER_FACTOR = 1.5
+"""Workers for short requests as a multiple of their share of the prefill time; above one since
+their streams continue after prefill."""
 
 _RANK_KEY = "short requests"
 
 
 class PromptSeparation:
-    """Counts reading time by length and names the workers for short requests."""
+    """Tracks the prefill time of long and short requests and selects workers for short ones."""
 
     def __init__(self):
-        self._long = 0.0
-        self._short = 0.0
-        self._counted_at = 0.0
-        self._ranked_of: Collection[str] = []
+        self._long_seconds = 0.0
+        self._short_seconds = 0.0
+        self._updated_at = 0.0
+        self._ranked_from: Collection[str] = []
         self._ranked: list[str] = []
 
     def record(self, seconds: float, is_long: bool, now: float) -> None:
-        """Count a request by the time that reading its whole prompt takes."""
-        fade = math.exp((self._counted_at - now) / MEMORY_SECONDS)
-        self._long = self._long * fade + (seconds if is_long else 0.0)
-        self._short = self._short * fade + (0.0 if is_long else seconds)
-        self._counted_at = now
+        """Record a request.
 
-    def short_workers(self, workers: Collection[str], last: Collection[str] = ()) -> frozenset[str]:
-        """Return the workers for short requests; none while there is only one kind.
+        :param seconds: prefill time of its whole prompt without any cache.
+        """
+        decay = math.exp((self._updated_at - now) / DECAY_SECONDS)
+        self._long_seconds = self._long_seconds * decay + (seconds if is_long else 0.0)
+        self._short_seconds = self._short_seconds * decay + (0.0 if is_long else seconds)
+        self._updated_at = now
+
+    def short_workers(
+        self, workers: Collection[str], fallback: Collection[str] = ()
+    ) -> frozenset[str]:
+        """Return the workers for short requests.
+
+        Empty with fewer than two workers, or while only long or only short requests were recorded.
 
-        :param last: workers that are taken only when there are not enough others.
+        :param fallback: workers that are selected only when there are not enough others.
         """
-        total = self._long + self._short
-        if len(workers) < 2 or self._long == 0.0 or self._short == 0.0:
+        total = self._long_seconds + self._short_seconds
+        if len(workers) < 2 or self._long_seconds == 0.0 or self._short_seconds == 0.0:
             return frozenset()
-        wanted = round(len(workers) * SHORT_FACTOR * self._short / total)
-        count = max(1, min(len(workers) - 1, wanted))
-        if self._ranked_of != workers:
-            self._ranked_of, self._ranked = workers, rendezvous.rank(_RANK_KEY, workers)
-        # The sort is stable: among either kind the rendezvous rank decides.
-        ranked = sorted(self._ranked, key=lambda one: one in last) if last else self._ranked
+        target = round(len(workers) * SHORT_WORKER_FACTOR * self._short_seconds / total)
+        count = max(1, min(len(workers) - 1, target))
+        if self._ranked_from != workers:
+            self._ranked_from, self._ranked = workers, rendezvous.rank(_RANK_KEY, workers)
+        # The sort is stable, so the rendezvous order is preserved within each group.
+        ranked = (
+            sorted(self._ranked, key=lambda worker: worker in fallback)
+            if fallback
+            else self._ranked
+        )
         return frozenset(ranked[:count])
--- a/src/wheelslip/routing/sharing.py
+++ b/src/wheelslip/routing/sharing.py
@@ -1,4 +1,4 @@
-"""What this node asks and tells the home nodes of prefixes."""
+"""Client of the prefix registries at home nodes: pending lookups and update rate limits."""
 
 import math
 from dataclasses import dataclass
@@ -11,75 +11,74 @@
     registry_head,
 )
 
-SHARE_MIN_TOKENS = 2048
-"""Uncached tokens from which a home node is asked and told: it costs control traffic, and a
-shorter prompt is computed in a quarter of a second."""
+LONG_PREFILL_MIN_TOKENS = 2048
+"""Uncached tokens from which a prefill is coordinated with the prefix's home node."""
 
 HOME_LOOKUP_TIMEOUT_SECONDS = 0.05
-"""Longest wait for a prefix's home node; a lost question costs this much."""
+"""Time after which requests stop waiting for the reply of a home node."""
 
-ANSWER_VALID_SECONDS = 0.5
-"""How long an answer of a home node holds for further requests of the same head."""
+REPLY_TTL_SECONDS = 0.5
+"""Time for which a reply also applies to further requests with the same head key."""
 
-TELL_INTERVAL_SECONDS = 2.0
-"""Time between two words to a home node that a prefix is still in use on an engine."""
+UPDATE_INTERVAL_SECONDS = 2.0
+"""Minimum time between non-urgent updates for the same head key and engine."""
 
 
 @dataclass
-class _HomeAsk:
-    """The latest question about one head to its home node."""
+class _Lookup:
+    """The latest lookup of a head key."""
 
     keys: tuple[int, ...]
-    asked_at: float
-    answered_at: float | None = None
+    sent_at: float
+    replied_at: float | None = None
 
 
-class PrefixSharing:
-    """Questions under way and news given, each bounded in number."""
+class PrefixRegistryClient:
+    """Lookups and updates of one node; both tables are bounded."""
 
-    def __init__(self, ask_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS):
-        self._ask_timeout_seconds = ask_timeout_seconds
-        self._asks: dict[int, _HomeAsk] = {}
-        self._told_at: dict[tuple[int, str], float] = {}
+    def __init__(self, lookup_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS):
+        self._lookup_timeout_seconds = lookup_timeout_seconds
+        self._lookups: dict[int, _Lookup] = {}
+        self._updated_at: dict[tuple[int, str], float] = {}
 
-    def has_answer(self, head: int, now: float) -> bool:
-        """Return whether the home has answered lately, or was asked in vain."""
-        ask = self._asks.get(head)
-        if ask is None:
+    def is_resolved(self, head: int, now: float) -> bool:
+        """Return whether the lookup has a valid reply or has timed out."""
+        lookup = self._lookups.get(head)
+        if lookup is None:
             return False
-        if ask.answered_at is None:
-            return now - ask.asked_at >= self._ask_timeout_seconds
-        return now - ask.answered_at < ANSWER_VALID_SECONDS
+        if lookup.replied_at is None:
+            return now - lookup.sent_at >= self._lookup_timeout_seconds
+        return now - lookup.replied_at < REPLY_TTL_SECONDS
 
-    def ask(
+    def lookup(
         self, head: int, keys: tuple[int, ...], engine: EngineInfo, seconds: float, now: float
     ) -> list[HomeLookup]:
-        """Return the question to the home, unless one is already on its way.
+        """Return the lookup to send; nothing while one is pending.
 
-        :param seconds: until the prompt would be computed on ``engine``.
+        :param seconds: expected time until the prompt is computed on ``engine``.
         """
-        ask = self._asks.get(head)
-        if ask is not None and ask.answered_at is None:
+        lookup = self._lookups.get(head)
+        if lookup is not None and lookup.replied_at is None:
             return []
-        self._asks.pop(head, None)
-        self._asks[head] = _HomeAsk(keys, now)
-        if len(self._asks) > MAX_HEADS:
-            del self._asks[next(iter(self._asks))]
+        self._lookups.pop(head, None)
+        self._lookups[head] = _Lookup(keys, now)
+        if len(self._lookups) > MAX_HEADS:
+            del self._lookups[next(iter(self._lookups))]
         return [HomeLookup(head, _plan(engine, keys, seconds))]
 
-    def answered(self, head: int, now: float) -> tuple[int, ...] | None:
-        """Take note of an answer; return the keys asked about, ``None`` when not asked."""
-        ask = self._asks.get(head)
-        if ask is None:
+    def record_reply(self, head: int, now: float) -> tuple[int, ...] | None:
+        """Record a reply; return the keys of the lookup, ``None`` without a lookup."""
+        lookup = self._lookups.get(head)
+        if lookup is None:
             return None
-        ask.answered_at = now
-        return ask.keys
+        lookup.replied_at = now
+        return lookup.keys
 
-    def forget(self, head: int) -> None:
-        """Let the next request ask again."""
-        self._asks.pop(head, None)
+    def invalidate(self, head: int) -> None:
+        """Drop a lookup, so that the next request repeats it."""
+        self._lookups.pop(head, None)
 
-    def news(
+    def update(
         self,
         engine: EngineInfo,
         keys: tuple[int, ...],
@@ -87,21 +86,22 @@
         now: float,
         urgent: bool = False,
     ) -> list[HomeUpdate]:
-        """Return word for the home that a prompt is on an engine, or will be in ``seconds``.
+        """Return the update that a prompt is cached on an engine, or will be in ``seconds``.
 
-        Unless urgent, it is given once in a while for each head and engine.
+        Updates that are not urgent are limited to one per :data:`UPDATE_INTERVAL_SECONDS` for
+        each head key and engine; an empty list is returned in between.
         """
         head = registry_head(keys)
         if head is None:
             return []
-        name = (head, engine.name)
-        recent = now - self._told_at.get(name, -math.inf) < TELL_INTERVAL_SECONDS
+        update_key = (head, engine.name)
+        recent = now - self._updated_at.get(update_key, -math.inf) < UPDATE_INTERVAL_SECONDS
         if recent and not urgent:
             return []
-        self._told_at.pop(name, None)
-        self._told_at[name] = now
-        if len(self._told_at) > MAX_HEADS:
-            del self._told_at[next(iter(self._told_at))]
+        self._updated_at.pop(update_key, None)
+        self._updated_at[update_key] = now
+        if len(self._updated_at) > MAX_HEADS:
+            del self._updated_at[next(iter(self._updated_at))]
         return [HomeUpdate(head, _plan(engine, keys, seconds))]
 
 
--- a/src/wheelslip/routing/task.py
+++ b/src/wheelslip/routing/task.py
@@ -1,4 +1,4 @@
-"""The router task: owns the scheduler; request threads talk to it by messages."""
+"""Router task: a thread that owns the scheduler and receives messages from request threads."""
 
 import queue
 import random
@@ -23,7 +23,7 @@
 from wheelslip.routing.prefix_registry import PrefixHint, PrefixPlan, PrefixRegistry
 from wheelslip.routing.scheduler import Scheduler
 
-_IDLE_SECONDS = 0.5
+_MAX_TICK_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
@@ -33,15 +33,15 @@
 
 
 @dataclass(frozen=True)
-class _Act:
-    """Run one scheduler call and carry out its decisions."""
+class _SchedulerCall:
+    """A call to the scheduler whose decisions are then applied."""
 
     action: Callable[[Scheduler, float], list[Decision] | None]
 
 
 @dataclass(frozen=True)
 class RouterCounts:
-    """A snapshot for metrics and policies."""
+    """Snapshot of the scheduler's counters, for metrics and policies."""
 
     waiting: int = 0
     running: int = 0
@@ -50,44 +50,44 @@
 
 
 class HomeLink(Protocol):
-    """How the router reaches the home nodes of prefixes."""
+    """Transport between the router and the home nodes of prefixes."""
 
     def home_address(self, head: int) -> str | None:
-        """Return the home's address, or ``None`` when it is this node."""
+        """Return the address of a prefix's home node; ``None`` when it is this node."""
 
     def send(self, address: str, message: HomeLookup | HomeUpdate) -> None:
-        """Send a question or news."""
+        """Send a lookup or an update to a home node."""
 
     def answer(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
-        """Send an answer."""
+        """Reply to a lookup of another node."""
 
 
 class RouterTask:
-    """Runs one :class:`Scheduler` in one thread.
+    """Runs a :class:`Scheduler` in a thread of its own. The public methods are thread-safe.
 
-    :ivar counts: replaced after each message, safe to read from any thread.
+    :ivar counts: replaced after each message.
     """
 
     def __init__(self, options: SchedulerOptions, home_link: HomeLink):
         self._home_link = home_link
         self._registry = PrefixRegistry()
         self._scheduler = Scheduler(options, random.Random())
-        self._mailbox: queue.SimpleQueue[_Submit | _Act | None] = queue.SimpleQueue()
+        self._mailbox: queue.SimpleQueue[_Submit | _SchedulerCall | None] = queue.SimpleQueue()
         self._replies: dict[str, queue.SimpleQueue[Decision]] = {}
         self._thread = threading.Thread(target=self._run, name="router", daemon=True)
         self.counts = RouterCounts()
 
     def start(self) -> None:
-        """Begin to decide."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the task; requests still waiting get no answer, so drain first."""
+        """Stop the thread. Drain first: callers that still wait in :meth:`place` block forever."""
         self._mailbox.put(None)
         self._thread.join()
 
     def place(self, request: RoutingRequest) -> Dispatch:
-        """Wait for the engine to send a request to.
+        """Submit a request and block until it is dispatched to an engine.
 
         :raises WheelslipError: when the request is refused.
         """
@@ -101,50 +101,50 @@
 
     def first_token(self, request_id: str) -> None:
         """Report the first token of a request."""
-        self._act(lambda scheduler, now: scheduler.first_token(request_id, now))
+        self._call(lambda scheduler, now: scheduler.first_token(request_id, now))
 
     def finished(self, request_id: str, cached_tokens: int | None) -> None:
-        """Report a complete answer."""
-        self._act(lambda scheduler, now: scheduler.finished(request_id, cached_tokens, now))
+        """Report a completed request; ``cached_tokens`` is ``None`` if the engine sent none."""
+        self._call(lambda scheduler, now: scheduler.finished(request_id, cached_tokens, now))
 
     def failed(self, request_id: str) -> None:
-        """Report that the engine did not answer."""
-        self._act(lambda scheduler, now: scheduler.failed(request_id, now))
+        """Report that the engine did not respond."""
+        self._call(lambda scheduler, now: scheduler.failed(request_id, now))
 
     def cancelled(self, request_id: str) -> None:
-        """Report that a dispatch was not used, or its caller is gone."""
-        self._act(lambda scheduler, now: scheduler.cancel(request_id, now))
+        """Report that a dispatch was not used or that the caller has disconnected."""
+        self._call(lambda scheduler, now: scheduler.cancel(request_id, now))
 
     def observe_load(self, engine: str, running: int, waiting: int) -> None:
-        """Report load that came with an answer."""
-        self._act(lambda scheduler, now: scheduler.observe_load(engine, running, waiting, now))
+        """Report the load that an engine sent with a response."""
+        self._call(lambda scheduler, now: scheduler.observe_load(engine, running, waiting, now))
 
     def update_engine(self, info: EngineInfo) -> None:
-        """Report an engine's facts."""
-        self._act(lambda scheduler, now: scheduler.update_engine(info, now))
+        """Add or update an engine."""
+        self._call(lambda scheduler, now: scheduler.update_engine(info, now))
 
     def remove_engine(self, name: str) -> None:
-        """Report that an engine is gone."""
-        self._act(lambda scheduler, now: scheduler.remove_engine(name))
+        """Remove an engine."""
+        self._call(lambda scheduler, now: scheduler.remove_engine(name))
 
     def handle_home_lookup(self, address: str, head: int, plan: PrefixPlan) -> None:
-        """Answer another node's question about a prefix whose home is here."""
+        """Reply to another node's lookup of a prefix whose home is this node."""
 
-        def answer(scheduler: Scheduler, now: float) -> None:
+        def reply(scheduler: Scheduler, now: float) -> None:
             self._home_link.answer(address, head, self._registry.lookup(head, plan, now))
 
-        self._act(answer)
+        self._call(reply)
 
     def handle_home_update(self, head: int, plan: PrefixPlan) -> None:
-        """Take another node's news of a prefix whose home is here."""
-        self._act(lambda scheduler, now: self._registry.record(head, plan, now))
+        """Record another node's update of a prefix whose home is this node."""
+        self._call(lambda scheduler, now: self._registry.record(head, plan, now))
 
     def handle_home_reply(self, head: int, hints: tuple[PrefixHint, ...]) -> None:
-        """Take the answer of a prefix's home."""
-        self._act(lambda scheduler, now: scheduler.handle_home_reply(head, hints, now))
+        """Pass the reply of a prefix's home node to the scheduler."""
+        self._call(lambda scheduler, now: scheduler.handle_home_reply(head, hints, now))
 
-    def _act(self, action: Callable[[Scheduler, float], list[Decision] | None]) -> None:
-        self._mailbox.put(_Act(action))
+    def _call(self, action: Callable[[Scheduler, float], list[Decision] | None]) -> None:
+        self._mailbox.put(_SchedulerCall(action))
 
     def _run(self) -> None:
         while True:
@@ -152,39 +152,39 @@
             if message is None:
                 return
             try:
-                self._take(message)
-            except Exception as error:  # the router must outlive any one request
+                self._handle(message)
+            except Exception as error:  # keep routing when one message fails
                 log_event(LogEvent.TASK_FAILED, task="router", reason=repr(error))
             self._publish_counts()
 
-    def _next_message(self) -> _Submit | _Act | None:
+    def _next_message(self) -> _Submit | _SchedulerCall | None:
         wakeup = self._scheduler.next_wakeup(time.monotonic())
-        timeout = _IDLE_SECONDS
+        timeout = _MAX_TICK_INTERVAL_SECONDS
         if wakeup is not None:
             timeout = max(0.0, min(timeout, wakeup - time.monotonic()))
         try:
             return self._mailbox.get(timeout=timeout)
         except queue.Empty:
-            return _Act(lambda scheduler, now: scheduler.tick(now))
+            return _SchedulerCall(lambda scheduler, now: scheduler.tick(now))
 
-    def _take(self, message: _Submit | _Act) -> None:
+    def _handle(self, message: _Submit | _SchedulerCall) -> None:
         now = time.monotonic()
         if isinstance(message, _Submit):
             self._replies[message.request.request_id] = message.reply
             decisions = self._scheduler.submit(message.request, now)
         else:
             decisions = message.action(self._scheduler, now)
-        self._carry_out(decisions or [], now)
+        self._apply(decisions or [], now)
 
-    def _carry_out(self, decisions: list[Decision], now: float) -> None:
+    def _apply(self, decisions: list[Decision], now: float) -> None:
         for decision in decisions:
             if isinstance(decision, HomeLookup | HomeUpdate):
-                self._talk_to_home(decision, now)
+                self._contact_home(decision, now)
             else:
                 self._replies.pop(decision.request_id).put(decision)
                 _log_long_prefill(decision)
 
-    def _talk_to_home(self, message: HomeLookup | HomeUpdate, now: float) -> None:
+    def _contact_home(self, message: HomeLookup | HomeUpdate, now: float) -> None:
         address = self._home_link.home_address(message.head)
         if address is not None:
             self._home_link.send(address, message)
@@ -192,7 +192,7 @@
             self._registry.record(message.head, message.plan, now)
         else:
             hints = self._registry.lookup(message.head, message.plan, now)
-            self._carry_out(self._scheduler.handle_home_reply(message.head, hints, now), now)
+            self._apply(self._scheduler.handle_home_reply(message.head, hints, now), now)
 
     def _publish_counts(self) -> None:
         scheduler = self._scheduler
--- a/tests/probe/test_cached_state.py
+++ b/tests/probe/test_cached_state.py
@@ -1,4 +1,4 @@
-"""Promise 1: no state of a dead engine, another tenant or older weights is ever used."""
+"""Cached state of a dead engine, another tenant or older weights is never used."""
 
 import hashlib
 
@@ -12,20 +12,20 @@
 
 
 def served_or_refused(cluster, name: str) -> bool:
-    """Send a request; return whether it was served, where it may only be refused as not run."""
+    """Send a request; return whether it was served. Any refusal must be reported as not run."""
     outcome = send(cluster, "node-1", chat_body(name, prefix=LONG))
     assert outcome.whole or outcome.error["run_state"] == "not_run", outcome
     return outcome.whole
 
 
-def test_engine_replaced_behind_the_nodes_is_refused_and_found(make_cluster):
-    """The engine restarts and the node's decision still names the old incarnation."""
+def test_restarted_engine_refuses_its_old_incarnation_and_is_discovered(make_cluster):
+    """The engine restarts while the node still routes to its old incarnation."""
     cluster = make_cluster(engines=1, nodes=1)
     assert send(cluster, "node-1", chat_body("warm", prefix=LONG)).whole
     cluster.processes["engine-1"].kill()
     cluster.start_engine("engine-1")
     cluster.wait_http(f"http://{cluster.host('engine-1')}:7000/status")
-    # A node that saw the engine die, and has not found the new one yet, refuses: not run.
+    # A node that has detected the failure but not the new engine refuses with "not run".
     wait_until(lambda: served_or_refused(cluster, "n0"), "the new engine serves")
     outcomes = [send(cluster, "node-1", chat_body(f"n{n}", prefix=LONG)) for n in range(1, 3)]
     assert all(outcome.whole for outcome in outcomes), outcomes
@@ -33,16 +33,16 @@
     assert len(cluster.runs("started")) == 4
     incarnations = [run["incarnation"] for run in cluster.runs("started")]
     assert len(set(incarnations)) == 2
-    first_after = cluster.runs("started")[1]
-    assert first_after["cached_tokens"] == 0
+    first_after_restart = cluster.runs("started")[1]
+    assert first_after_restart["cached_tokens"] == 0
 
 
-def test_weights_updated_between_decision_and_arrival(make_cluster):
-    """Real engines keep their cache over a weight load; only the salt tells state apart."""
+def test_weights_changed_before_arrival_do_not_use_the_old_cache(make_cluster):
+    """Engines keep their cache across a weights update; only the salt separates the versions."""
     cluster = make_cluster(engines=1, nodes=1)
     assert send(cluster, "node-1", chat_body("old", prefix=LONG)).whole
-    # Behind the nodes' back, at once and in service: the next decision still says v1. The high
-    # token makes the engine refuse the placement controller, which would bring v1 back.
+    # Swap the weights without informing the nodes, so the next request still expects v1. The
+    # high token fences off the placement controller, which would restore v1.
     order = {"fencing_token": 10**9, "action": "swap_weights", "weights_version": "v2"}
     assert cluster.order_engine("engine-1", order) == 200
     outcomes = [send(cluster, "node-1", chat_body(f"new{n}", prefix=LONG)) for n in range(3)]
@@ -51,7 +51,7 @@
     assert_only_own_state(cluster)
 
 
-def test_two_tenants_with_identical_prompts_share_nothing(make_cluster, tmp_path):
+def test_tenants_with_identical_prompts_do_not_share_cached_state(make_cluster, tmp_path):
     cluster = make_cluster(engines=1, nodes=1)
     tenant = {
         "kind": "Tenant",
@@ -70,19 +70,19 @@
 
 
 def all_nodes_serve_by(cluster, name) -> bool:
-    """Whether both nodes know the present incarnation of an engine as serving."""
+    """Return whether both nodes list the current incarnation of an engine as serving."""
     url = f"http://{cluster.host(name)}:7000/status"
     incarnation = cluster.http.request("GET", url).json()["incarnation"]
     return all(
         any(
-            one["incarnation"] == incarnation and one["state"] == "serving"
-            for one in cluster.status(node)["engines"]
+            engine["incarnation"] == incarnation and engine["state"] == "serving"
+            for engine in cluster.status(node)["engines"]
         )
         for node in ("node-1", "node-2")
     )
 
 
-def test_engines_replaced_under_load_never_lend_old_state(make_cluster):
+def test_replaced_engines_under_load_never_use_old_state(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
     callers = Callers(cluster)
     for round_number in range(4):
@@ -92,8 +92,7 @@
         cluster.processes[name].kill()
         cluster.start_engine(name)
         cluster.wait_http(f"http://{cluster.host(name)}:7000/status")
-        # The next engine is killed only once both nodes serve by this incarnation: how soon
-        # they do depends on the machine, and without any engine nothing can be whole.
+        # Kill the next engine only after both nodes use this one, so that one is always up.
         wait_until(lambda engine=name: all_nodes_serve_by(cluster, engine), f"{name} is found")
     outcomes = callers.join()
     assert len(outcomes) == 40
--- a/tests/probe/test_placement.py
+++ b/tests/probe/test_placement.py
@@ -1,4 +1,4 @@
-"""Weights versions are rolled out by fenced orders, a few loads at once, cutting nothing."""
+"""Rollout of weights versions by fenced orders with limited concurrency."""
 
 import threading
 import time
@@ -23,14 +23,16 @@
 
 def all_serve(cluster, node, version):
     engines = cluster.status(node)["engines"]
-    return all(one["weights_version"] == version and one["state"] == "serving" for one in engines)
+    return all(
+        engine["weights_version"] == version and engine["state"] == "serving" for engine in engines
+    )
 
 
 def loads(cluster):
     return cluster.http.request("GET", f"http://{cluster.weight_store_address}/counts").json()
 
 
-def test_new_version_is_rolled_out_under_load(make_cluster, tmp_path):
+def test_new_version_is_rolled_out_under_load_without_losing_requests(make_cluster, tmp_path):
     cluster = make_cluster(engines=4, nodes=2)
     stop = threading.Event()
     outcomes = []
@@ -58,8 +60,8 @@
     assert len(loads(cluster)["loads"]) == 4
 
 
-def test_controller_killed_or_paused_during_a_rollout(make_cluster, tmp_path):
-    """Each node in turn is killed, paused and resumed: no engine loads a version twice."""
+def test_rollout_with_paused_controllers_loads_each_engine_once(make_cluster, tmp_path):
+    """Guards against loading a version twice on an engine when the controller moves."""
     cluster = make_cluster(engines=4, nodes=3)
     cluster.apply("node-1", model_file(tmp_path, "v2"))
     for node in cluster.nodes:
--- a/tests/unit/test_fingerprint.py
+++ b/tests/unit/test_fingerprint.py
@@ -1,16 +1,16 @@
-"""The identity of a request's content."""
+"""Request fingerprints."""
 
 from wheelslip.routing.fingerprint import request_fingerprint
 
-CONTENT = ("POST", b"/a?q=1", "tenant", b"body")
+REQUEST = ("POST", b"/a?q=1", "tenant", b"body")
 
 
-def test_the_same_content_has_the_same_fingerprint_everywhere():
-    assert request_fingerprint(*CONTENT) == request_fingerprint(*CONTENT)
-    assert request_fingerprint(*CONTENT) == "d8f6f898a491cbaa8eaa8240"
+def test_equal_requests_have_the_same_stable_fingerprint():
+    assert request_fingerprint(*REQUEST) == request_fingerprint(*REQUEST)
+    assert request_fingerprint(*REQUEST) == "d8f6f898a491cbaa8eaa8240"
 
 
-def test_each_part_counts_and_no_two_parts_run_into_each_other():
+def test_any_changed_or_shifted_part_changes_the_fingerprint():
     others = [
         ("GET", b"/a?q=1", "tenant", b"body"),
         ("POST", b"/a?q=2", "tenant", b"body"),
@@ -19,5 +19,5 @@
         ("POST", b"/a?q=1t", "enant", b"body"),
         ("POST", b"/a?q=1", "tenantb", b"ody"),
     ]
-    prints = {request_fingerprint(*one) for one in [CONTENT, *others]}
-    assert len(prints) == 1 + len(others)
+    fingerprints = {request_fingerprint(*request) for request in [REQUEST, *others]}
+    assert len(fingerprints) == 1 + len(others)
--- a/tests/unit/test_prefix_index.py
+++ b/tests/unit/test_prefix_index.py
@@ -1,4 +1,4 @@
-"""The prefix index and the queue against plain models; derandomised, so always the same."""
+"""Prefix index and fair queue, compared with reference models; derandomized."""
 
 import itertools
 
@@ -10,7 +10,7 @@
 from wheelslip.routing.model import RoutingRequest, ServiceClass
 from wheelslip.routing.prefix import BLOCK_BYTES, cache_salt, prefix_keys
 
-FIXED = settings(derandomize=True, max_examples=200, deadline=None)
+DETERMINISTIC = settings(derandomize=True, max_examples=200, deadline=None)
 
 ENGINES = ("a", "b")
 INCARNATIONS = ("1", "2", "3")
@@ -29,18 +29,18 @@
 )
 
 
-class PlainIndex:
-    """For each engine its present incarnation and the keys stored under it."""
+class ReferenceIndex:
+    """Current incarnation of each engine and the keys stored under it."""
 
     def __init__(self):
         self.incarnation = {}
         self.stored = {engine: set() for engine in ENGINES}
 
-    def take(self, kind, engine, named, keys):
-        current = self.incarnation.get(engine) == named
+    def apply(self, kind, engine, incarnation, keys):
+        current = self.incarnation.get(engine) == incarnation
         if kind == "forget" or (kind == "replace" and not current):
             self.stored[engine] = set()
-            self.incarnation[engine] = named if kind == "replace" else None
+            self.incarnation[engine] = incarnation if kind == "replace" else None
         elif kind in ("store", "answer") and current:
             self.stored[engine] |= set(keys)
         elif kind == "remove" and current:
@@ -49,39 +49,36 @@
             self.stored[engine] = set()
 
 
-def take(index, kind, engine, named, keys, now):
+def apply_step(index, kind, engine, incarnation, keys, now):
     calls = {
-        "replace": lambda: index.set_incarnation(engine, named),
-        "store": lambda: index.record_stored(engine, named, keys, now),
-        "answer": lambda: index.record_answer(engine, named, keys, 64, 1.0, now),
-        "remove": lambda: index.record_removed(engine, named, keys),
-        "clear": lambda: index.record_cleared(engine, named),
-        "forget": lambda: index.forget_engine(engine),
+        "replace": lambda: index.set_incarnation(engine, incarnation),
+        "store": lambda: index.record_stored(engine, incarnation, keys, now),
+        "answer": lambda: index.record_answer(engine, incarnation, keys, 64, 1.0, now),
+        "remove": lambda: index.record_removed(engine, incarnation, keys),
+        "clear": lambda: index.record_cleared(engine, incarnation),
+        "forget": lambda: index.discard_engine(engine),
         "wait": lambda: None,
     }
     calls[kind]()
 
 
-@FIXED
+@DETERMINISTIC
 @given(operations)
-def test_index_never_reports_what_a_plain_model_does_not(steps):
-    """Whatever comes in any order: nothing of a dead incarnation, another tenant or version.
-
-    Keys are made from salts, so another tenant's or version's keys are other keys.
-    """
-    index, plain = PrefixIndex(), PlainIndex()
-    for now, (kind, engine, named, salt, prompt) in enumerate(steps):
+def test_index_never_reports_blocks_that_the_reference_model_does_not_hold(steps):
+    """Guards against hits from an earlier incarnation, another tenant or other weights."""
+    index, reference = PrefixIndex(), ReferenceIndex()
+    for now, (kind, engine, incarnation, salt, prompt) in enumerate(steps):
         keys = prefix_keys(salt, prompt)
-        take(index, kind, engine, named, keys, float(now))
-        plain.take(kind, engine, named, keys)
+        apply_step(index, kind, engine, incarnation, keys, float(now))
+        reference.apply(kind, engine, incarnation, keys)
         for other, other_salt, other_prompt in itertools.product(ENGINES, SALTS, PROMPTS):
             wanted = prefix_keys(other_salt, other_prompt)
             count = index.cached_blocks(other, wanted, float(now))
-            assert set(wanted[:count]) <= plain.stored[other]
-        assert len(index) == sum(len(keys) for keys in plain.stored.values())
+            assert set(wanted[:count]) <= reference.stored[other]
+        assert len(index) == sum(len(keys) for keys in reference.stored.values())
 
 
-def test_blocks_are_believed_for_their_residence_time_only():
+def test_blocks_count_as_cached_only_for_their_residence_time():
     index = PrefixIndex()
     index.set_incarnation("a", "1")
     keys = prefix_keys(SALTS[0], PROMPTS[0])
@@ -90,7 +87,7 @@
     assert index.cached_blocks("a", keys, 1000.0) == 0
 
 
-def test_residence_time_follows_hits_and_misses():
+def test_residence_time_shrinks_on_a_miss_and_grows_on_a_hit():
     index = PrefixIndex()
     index.set_incarnation("a", "1")
     keys = prefix_keys(SALTS[0], PROMPTS[0])
@@ -101,7 +98,7 @@
     assert index.residence_seconds("a") >= 20.0
 
 
-def test_index_keeps_its_bound_and_drops_the_oldest():
+def test_full_index_evicts_the_oldest_blocks():
     index = PrefixIndex(max_blocks=100)
     index.set_incarnation("a", "1")
     for number in range(30):
@@ -117,7 +114,7 @@
     )
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.lists(
         st.tuples(
@@ -129,40 +126,40 @@
         max_size=60,
     )
 )
-def test_queue_holds_what_a_plain_list_holds_in_class_order(steps):
+def test_queue_matches_the_reference_model_and_orders_by_class(steps):
     queue = FairQueue()
-    plain = {}
-    for number, (kind, tenant, service_class, chosen) in enumerate(steps):
+    reference = {}
+    for number, (kind, tenant, service_class, target) in enumerate(steps):
         if kind == "push":
-            one = request(f"r{number}", tenant, service_class)
-            queue.push(one)
-            plain[one.request_id] = one
-        elif kind == "pop" and plain:
+            pushed = request(f"r{number}", tenant, service_class)
+            queue.push(pushed)
+            reference[pushed.request_id] = pushed
+        elif kind == "pop" and reference:
             first = next(queue.in_order())
-            assert queue.remove(first.request_id) is plain.pop(first.request_id)
+            assert queue.remove(first.request_id) is reference.pop(first.request_id)
         elif kind == "remove":
-            assert queue.remove(f"r{chosen}") is plain.pop(f"r{chosen}", None)
+            assert queue.remove(f"r{target}") is reference.pop(f"r{target}", None)
         order = list(queue.in_order())
-        assert len(queue) == len(plain) == len(order)
-        assert {one.request_id for one in order} == set(plain)
-        classes = [one.service_class is ServiceClass.PATIENT for one in order]
+        assert len(queue) == len(reference) == len(order)
+        assert {queued.request_id for queued in order} == set(reference)
+        classes = [queued.service_class is ServiceClass.PATIENT for queued in order]
         assert classes == sorted(classes)
 
 
-def test_tenant_at_twenty_times_its_share_waits_behind_itself():
+def test_tenant_over_its_share_does_not_delay_other_tenants():
     queue = FairQueue()
     for number in range(40):
         queue.push(request(f"big{number}", "big", ServiceClass.INTERACTIVE))
     for number in range(2):
         queue.push(request(f"small{number}", "small", ServiceClass.INTERACTIVE))
-    order = [one.request_id for one in queue.in_order()]
+    order = [queued.request_id for queued in queue.in_order()]
     assert order.index("small0") <= 2 and order.index("small1") <= 4
 
 
-def test_weight_gives_a_tenant_its_share():
+def test_tenants_are_served_in_proportion_to_their_weights():
     queue = FairQueue()
     for number in range(12):
         queue.push(request(f"heavy{number}", "heavy", ServiceClass.INTERACTIVE, weight=3.0))
         queue.push(request(f"light{number}", "light", ServiceClass.INTERACTIVE, weight=1.0))
-    first = [one.tenant for one in list(queue.in_order())[:8]]
+    first = [queued.tenant for queued in list(queue.in_order())[:8]]
     assert first.count("heavy") == 6
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's decisions, one mechanism at a time, with an injected clock."""
+"""Scheduler decisions and prefix registry, with an injected clock."""
 
 import random
 
@@ -20,8 +20,8 @@
 from wheelslip.routing.prefix import BLOCK_TOKENS
 from wheelslip.routing.prefix_registry import (
     CHECKPOINT_BLOCKS,
-    GIVE_UP_LATE_SECONDS,
-    RECHECK_SECONDS,
+    OVERDUE_EXPIRY_SECONDS,
+    OVERDUE_RECHECK_SECONDS,
     PrefixHint,
     PrefixPlan,
     PrefixRegistry,
@@ -47,61 +47,61 @@
 
 @pytest.fixture
 def scheduler():
-    made = Scheduler(SchedulerOptions(zone="z", ask_home=False), random.Random(1))
+    instance = Scheduler(SchedulerOptions(zone="z", ask_home=False), random.Random(1))
     for name in ("a", "b", "c"):
-        made.update_engine(engine(name), 0.0)
-    return made
+        instance.update_engine(engine(name), 0.0)
+    return instance
 
 
-def only(decisions, kind):
-    return [one for one in decisions if isinstance(one, kind)]
+def of_type(decisions, kind):
+    return [decision for decision in decisions if isinstance(decision, kind)]
 
 
-def test_warm_engine_is_chosen_again(scheduler):
-    (first,) = only(scheduler.submit(request("r1", LONG), 0.0), Dispatch)
+def test_engine_with_the_cached_prefix_is_chosen_again(scheduler):
+    (first,) = of_type(scheduler.submit(request("r1", LONG), 0.0), Dispatch)
     scheduler.first_token("r1", 1.0)
     scheduler.finished("r1", 0, 1.5)
-    (second,) = only(scheduler.submit(request("r2", LONG, 2.0), 2.0), Dispatch)
+    (second,) = of_type(scheduler.submit(request("r2", LONG, 2.0), 2.0), Dispatch)
     assert second.engine.name == first.engine.name
     assert second.predicted_cached_tokens == len(LONG) * BLOCK_TOKENS
 
 
-def test_replaced_engine_is_believed_empty(scheduler):
-    (first,) = only(scheduler.submit(request("r1", LONG), 0.0), Dispatch)
+def test_replaced_engine_starts_with_an_empty_cache(scheduler):
+    (first,) = of_type(scheduler.submit(request("r1", LONG), 0.0), Dispatch)
     scheduler.first_token("r1", 1.0)
     scheduler.finished("r1", 0, 1.5)
     scheduler.update_engine(engine(first.engine.name, incarnation="i2"), 2.0)
-    (second,) = only(scheduler.submit(request("r2", LONG, 2.0), 2.0), Dispatch)
+    (second,) = of_type(scheduler.submit(request("r2", LONG, 2.0), 2.0), Dispatch)
     if second.engine.name == first.engine.name:
         assert second.engine.incarnation == "i2"
         assert second.predicted_cached_tokens < len(LONG) * BLOCK_TOKENS
 
 
-def test_followers_wait_for_the_first_and_go_where_it_went(scheduler):
-    (leader,) = only(scheduler.submit(request("lead", LONG), 0.0), Dispatch)
+def test_followers_wait_for_the_leader_and_are_sent_to_its_engine(scheduler):
+    (leader,) = of_type(scheduler.submit(request("lead", LONG), 0.0), Dispatch)
     assert scheduler.submit(request("f1", LONG, 0.1), 0.1) == []
     assert scheduler.submit(request("f2", LONG, 0.1), 0.1) == []
     assert scheduler.waiting_count == 2
-    released = only(scheduler.first_token("lead", 1.6), Dispatch)
-    assert {one.engine.name for one in released} == {leader.engine.name}
-    assert {one.request_id for one in released} == {"f1", "f2"}
+    released = of_type(scheduler.first_token("lead", 1.6), Dispatch)
+    assert {dispatch.engine.name for dispatch in released} == {leader.engine.name}
+    assert {dispatch.request_id for dispatch in released} == {"f1", "f2"}
 
 
-def test_followers_do_not_wait_for_a_leader_that_failed(scheduler):
+def test_followers_are_dispatched_when_their_leader_fails(scheduler):
     scheduler.submit(request("lead", LONG), 0.0)
     scheduler.submit(request("f1", LONG, 0.1), 0.1)
-    assert only(scheduler.failed("lead", 0.5), Dispatch)
+    assert of_type(scheduler.failed("lead", 0.5), Dispatch)
 
 
-def test_leaving_and_down_engines_get_nothing(scheduler):
+def test_leaving_and_down_engines_get_no_requests(scheduler):
     scheduler.update_engine(engine("a", state=EngineState.LEAVING), 0.0)
     scheduler.update_engine(engine("b", state=EngineState.DOWN), 0.0)
     for number in range(5):
-        (one,) = only(scheduler.submit(request(f"r{number}"), 0.0), Dispatch)
-        assert one.engine.name == "c"
+        (dispatch,) = of_type(scheduler.submit(request(f"r{number}"), 0.0), Dispatch)
+        assert dispatch.engine.name == "c"
 
 
-def test_no_engine_and_full_queue_are_refused_at_once():
+def test_requests_without_an_engine_or_with_a_full_queue_are_refused():
     scheduler = Scheduler(SchedulerOptions(max_waiting=0), random.Random(1))
     (refusal,) = scheduler.submit(request("r1"), 0.0)
     assert refusal.kind is ErrorKind.NO_ENGINE and refusal.retry_after_seconds > 0
@@ -113,78 +113,78 @@
 def test_waiting_request_is_refused_when_its_deadline_passes(scheduler):
     scheduler.submit(request("lead", LONG), 0.0)
     scheduler.submit(request("f1", LONG, 0.1, deadline=0.4), 0.1)
-    (refusal,) = only(scheduler.tick(0.6), Refusal)
+    (refusal,) = of_type(scheduler.tick(0.6), Refusal)
     assert refusal.request_id == "f1" and refusal.kind is ErrorKind.DEADLINE_UNREACHABLE
 
 
-def test_equal_engines_share_the_load(scheduler):
+def test_requests_are_spread_evenly_over_equal_engines(scheduler):
     names = []
     for number in range(30):
-        names += [one.engine.name for one in scheduler.submit(request(f"r{number}"), 0.0)]
+        names += [dispatch.engine.name for dispatch in scheduler.submit(request(f"r{number}"), 0.0)]
     assert {names.count(name) for name in ("a", "b", "c")} == {10}
 
 
-def test_failing_engine_is_left_alone_for_a_while(scheduler):
+def test_engine_with_an_open_circuit_gets_no_requests(scheduler):
     for number in range(3):
-        one = request(f"r{number}")
-        one.excluded = {"b", "c"}
-        scheduler.submit(one, 0.0)
+        failing = request(f"r{number}")
+        failing.excluded = {"b", "c"}
+        scheduler.submit(failing, 0.0)
         scheduler.failed(f"r{number}", 0.0)
     for number in range(4):
-        (one,) = only(scheduler.submit(request(f"s{number}"), 0.1), Dispatch)
-        assert one.engine.name != "a"
+        (dispatch,) = of_type(scheduler.submit(request(f"s{number}"), 0.1), Dispatch)
+        assert dispatch.engine.name != "a"
 
 
-def asking_scheduler():
-    made = Scheduler(SchedulerOptions(zone="z"), random.Random(1))
+def scheduler_with_home_lookup():
+    instance = Scheduler(SchedulerOptions(zone="z"), random.Random(1))
     for name in ("a", "b"):
-        made.update_engine(engine(name), 0.0)
-    return made
+        instance.update_engine(engine(name), 0.0)
+    return instance
 
 
-def test_home_is_asked_before_a_long_prefill_and_only_once():
-    scheduler = asking_scheduler()
-    (ask,) = scheduler.submit(request("r1", LONG), 0.0)
-    assert isinstance(ask, HomeLookup) and ask.head == registry_head(LONG)
+def test_home_is_looked_up_once_before_a_long_prefill():
+    scheduler = scheduler_with_home_lookup()
+    (lookup,) = scheduler.submit(request("r1", LONG), 0.0)
+    assert isinstance(lookup, HomeLookup) and lookup.head == registry_head(LONG)
     assert scheduler.submit(request("r2", LONG), 0.001) == []
-    decisions = scheduler.handle_home_reply(ask.head, (), 0.002)
-    assert len(only(decisions, Dispatch)) == 1 and len(only(decisions, HomeUpdate)) == 1
+    decisions = scheduler.handle_home_reply(lookup.head, (), 0.002)
+    assert len(of_type(decisions, Dispatch)) == 1 and len(of_type(decisions, HomeUpdate)) == 1
     assert scheduler.waiting_count == 1
 
 
-def test_prompt_computed_by_another_node_is_followed_until_its_home_says_it_is_there():
-    scheduler = asking_scheduler()
-    (ask,) = scheduler.submit(request("r1", LONG), 0.0)
-    coming = PrefixHint("b", "i1", len(LONG), 0.5, 0.0)
-    assert scheduler.handle_home_reply(ask.head, (coming,), 0.01) == []
-    (again,) = scheduler.tick(0.6)
-    assert isinstance(again, HomeLookup)
-    there = PrefixHint("b", "i1", len(LONG), 0.0, 0.1)
-    (sent,) = only(scheduler.handle_home_reply(ask.head, (there,), 0.61), Dispatch)
-    assert sent.engine.name == "b"
-    assert sent.predicted_cached_tokens == len(LONG) * BLOCK_TOKENS
+def test_requests_wait_for_a_remote_prefill_until_its_home_reports_completion():
+    scheduler = scheduler_with_home_lookup()
+    (lookup,) = scheduler.submit(request("r1", LONG), 0.0)
+    pending = PrefixHint("b", "i1", len(LONG), 0.5, 0.0)
+    assert scheduler.handle_home_reply(lookup.head, (pending,), 0.01) == []
+    (repeated,) = scheduler.tick(0.6)
+    assert isinstance(repeated, HomeLookup)
+    ready = PrefixHint("b", "i1", len(LONG), 0.0, 0.1)
+    (dispatch,) = of_type(scheduler.handle_home_reply(lookup.head, (ready,), 0.61), Dispatch)
+    assert dispatch.engine.name == "b"
+    assert dispatch.predicted_cached_tokens == len(LONG) * BLOCK_TOKENS
 
 
-def test_hint_of_a_dead_incarnation_is_not_believed():
-    scheduler = asking_scheduler()
-    (ask,) = scheduler.submit(request("r1", LONG), 0.0)
+def test_hint_for_an_earlier_incarnation_is_ignored():
+    scheduler = scheduler_with_home_lookup()
+    (lookup,) = scheduler.submit(request("r1", LONG), 0.0)
     stale = PrefixHint("b", "i0", len(LONG), 0.0, 0.1)
-    (sent,) = only(scheduler.handle_home_reply(ask.head, (stale,), 0.01), Dispatch)
-    assert sent.predicted_cached_tokens < len(LONG) * BLOCK_TOKENS
+    (dispatch,) = of_type(scheduler.handle_home_reply(lookup.head, (stale,), 0.01), Dispatch)
+    assert dispatch.predicted_cached_tokens < len(LONG) * BLOCK_TOKENS
 
 
-def test_lost_question_costs_its_timeout_only():
-    scheduler = asking_scheduler()
+def test_lost_lookup_delays_a_request_only_by_its_timeout():
+    scheduler = scheduler_with_home_lookup()
     scheduler.submit(request("r1", LONG), 0.0)
-    assert only(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS / 2), Dispatch) == []
-    assert len(only(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS * 1.1), Dispatch)) == 1
+    assert of_type(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS / 2), Dispatch) == []
+    assert len(of_type(scheduler.tick(HOME_LOOKUP_TIMEOUT_SECONDS * 1.1), Dispatch)) == 1
 
 
 def plan(keys, name="a", ready_in=1.0):
     return PrefixPlan(name, "i1", ready_in, checkpoints(keys))
 
 
-def test_registry_lets_the_first_asker_compute_and_tells_the_second():
+def test_registry_returns_the_plan_of_the_first_node_to_the_second():
     registry = PrefixRegistry()
     assert registry.lookup(1, plan(LONG), 0.0) == ()
     (hint,) = registry.lookup(1, plan(LONG, "b"), 0.1)
@@ -195,15 +195,15 @@
     assert hint.ready_in_seconds == 0 and hint.idle_seconds == pytest.approx(0.5)
 
 
-def test_registry_does_not_call_an_overdue_prompt_there_and_gives_it_up_in_time():
+def test_registry_rechecks_an_overdue_prefill_and_then_expires_it():
     registry = PrefixRegistry()
     registry.record(1, plan(LONG), 0.0)
     (hint,) = registry.lookup(1, plan(LONG, "b"), 3.0)
-    assert hint.ready_in_seconds == RECHECK_SECONDS
-    assert registry.lookup(1, plan(LONG, "b"), 2.0 + GIVE_UP_LATE_SECONDS) == ()
+    assert hint.ready_in_seconds == OVERDUE_RECHECK_SECONDS
+    assert registry.lookup(1, plan(LONG, "b"), 2.0 + OVERDUE_EXPIRY_SECONDS) == ()
 
 
-def test_registry_tells_how_deep_a_nested_prompt_is_shared():
+def test_registry_reports_the_shared_depth_of_a_nested_prompt():
     registry = PrefixRegistry()
     registry.record(1, plan(LONG, ready_in=0.0), 0.0)
     other = LONG[:100] + tuple(range(5000, 5100))
@@ -211,50 +211,41 @@
     assert hint.blocks == 100 - 100 % CHECKPOINT_BLOCKS
 
 
-def clerks_request(name, keys, now=0.0):
-    made = request(name, keys, now)
-    made.recompute_weight = RECOMPUTE_WEIGHT[ServiceClass.INTERACTIVE]
-    return made
+def interactive_request(name, keys, now=0.0):
+    routing_request = request(name, keys, now)
+    routing_request.recompute_weight = RECOMPUTE_WEIGHT[ServiceClass.INTERACTIVE]
+    return routing_request
 
 
-def test_prompt_that_another_node_computes_is_not_guessed_to_be_cached():
-    """Nodes computed a cold prefix again though its home had told them that another did.
-
-    A node takes the engine that a prefix goes to by its hash to hold half of it, from other
-    nodes' requests. That guess made computing there look cheaper than waiting for another
-    node's computation on this very engine, of which nothing was cached yet. Event 207 of the
-    second node: guessed_tokens 6560 of 13140, cost_seconds 1.639, following [["engine-3/...",
-    1.787]]; the engine found 0 cached. In 23 runs at a load of 5 to 44 on 16 cores 4 to 7 of 36
-    requests computed one of four prefixes, up to three of them the same one, each from another
-    node.
+def test_prefix_that_another_node_computes_is_not_estimated_as_cached():
+    """Guards against several nodes computing the same cold prefix: the cache estimate for the home
+    engine must not include a prefix that it is still computing for another node.
     """
     registry = PrefixRegistry()
-    nodes = [asking_scheduler() for _ in range(3)]
-    answers = []
+    nodes = [scheduler_with_home_lookup() for _ in range(3)]
+    replies = []
     for number, node in enumerate(nodes):
-        for row in range(3):
-            for ask in node.submit(clerks_request(f"r{number}-{row}", LONG), 0.0):
-                answers.append((node, ask.head, registry.lookup(ask.head, ask.plan, 0.0)))
-    decisions = [one for node, *answer in answers for one in node.handle_home_reply(*answer, 0.001)]
-    sent = only(decisions, Dispatch)
-    assert [one.request_id for one in sent] == ["r0-0"]
+        for position in range(3):
+            for lookup in node.submit(interactive_request(f"r{number}-{position}", LONG), 0.0):
+                replies.append((node, lookup.head, registry.lookup(lookup.head, lookup.plan, 0.0)))
+    decisions = [
+        decision for node, *reply in replies for decision in node.handle_home_reply(*reply, 0.001)
+    ]
+    dispatches = of_type(decisions, Dispatch)
+    assert [dispatch.request_id for dispatch in dispatches] == ["r0-0"]
 
 
 @pytest.mark.parametrize("learned_share", [0.0, 0.5, 1.0])
-def test_followers_of_another_node_wait_whatever_is_guessed_of_its_engine(learned_share):
-    """The share that homes were found to hold moves with every answer, up to the whole prompt.
-
-    At a share near one a request was sent without a look at what others compute. That the
-    prefix's home node tells of a computation on this engine counts, whatever the share.
-    """
-    scheduler = asking_scheduler()
+def test_followers_wait_for_a_remote_prefill_at_every_learned_hit_share(learned_share):
+    """Guards against ignoring a remote prefill when the learned hit share is high."""
+    scheduler = scheduler_with_home_lookup()
     for number in range(100):
         keys = tuple(range(10_000 * (number + 1), 10_000 * (number + 1) + len(LONG)))
-        (ask,) = scheduler.submit(clerks_request(f"learn{number}", keys), 0.0)
-        scheduler.handle_home_reply(ask.head, (), 0.0)
+        (lookup,) = scheduler.submit(interactive_request(f"learn{number}", keys), 0.0)
+        scheduler.handle_home_reply(lookup.head, (), 0.0)
         cached_tokens = int(learned_share * len(keys) * BLOCK_TOKENS)
         scheduler.finished(f"learn{number}", cached_tokens, 0.0)
-    (ask,) = scheduler.submit(clerks_request("r1", LONG), 0.0)
-    coming = PrefixHint(ask.plan.engine, "i1", len(LONG), 1.65, 0.0)
-    assert scheduler.handle_home_reply(ask.head, (coming,), 0.01) == []
+    (lookup,) = scheduler.submit(interactive_request("r1", LONG), 0.0)
+    pending = PrefixHint(lookup.plan.engine, "i1", len(LONG), 1.65, 0.0)
+    assert scheduler.handle_home_reply(lookup.head, (pending,), 0.01) == []
     assert scheduler.tick(1.0) == []
