--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -48,7 +48,7 @@
         "engines/client.py",
         '"X-Engine-Incarnation": engine.incarnation,',
         "",
-        "test_cached_state.py::test_engine_replaced_behind_the_nodes_is_refused_and_found",
+        "test_cached_state.py::test_restarted_engine_refuses_its_old_incarnation_and_is_discovered",
     ),
     _one(
         "weights version not in the salt",
@@ -56,7 +56,7 @@
         "routing/prefix.py",
         "(tenant, model, weights_version)",
         "(tenant, model)",
-        "test_cached_state.py::test_weights_updated_between_decision_and_arrival",
+        "test_cached_state.py::test_weights_changed_before_arrival_do_not_use_the_old_cache",
     ),
     _one(
         "tenant not in the salt",
@@ -64,7 +64,7 @@
         "routing/prefix.py",
         "(tenant, model, weights_version)",
         "(model, weights_version)",
-        "test_cached_state.py::test_two_tenants_with_identical_prompts_share_nothing",
+        "test_cached_state.py::test_tenants_with_identical_prompts_do_not_share_cached_state",
     ),
     _one(
         "no resume after a cut",
