--- a/src/wheelslip/peers/prefix_link.py
+++ b/src/wheelslip/peers/prefix_link.py
@@ -39,7 +39,7 @@
         else:
             self._membership.send_prefix(address, PrefixTell(message.head, message.plan))
 
-    def answer(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
+    def reply(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
         """Send an answer."""
         self._membership.send_prefix(address, PrefixAnswer(head, hints))
 
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -251,7 +251,7 @@
         }
         for node in timed_out:
             del self._last_contact[node]
-        for query_id in [
+        for expired_id in [
             query_id for query_id in self._grants if query_id.node not in self._last_contact
         ]:
-            self._end(query_id)
+            self._end(expired_id)
--- a/src/wheelslip/routing/index.py
+++ b/src/wheelslip/routing/index.py
@@ -78,7 +78,7 @@
         used = blocks.last_used.get(keys[0]) if blocks and keys else None
         return None if used is None else now - used
 
-    def record_answer(
+    def record_response(
         self,
         engine: str,
         incarnation: str,
--- a/src/wheelslip/routing/scheduler.py
+++ b/src/wheelslip/routing/scheduler.py
@@ -172,7 +172,7 @@
                 engine = in_flight.engine
                 if in_flight.is_home_estimate:
                     self._chooser.learn_home(in_flight.keys, cached_tokens)
-                self._index.record_answer(
+                self._index.record_response(
                     engine.name,
                     engine.incarnation,
                     in_flight.keys,
--- a/src/wheelslip/routing/task.py
+++ b/src/wheelslip/routing/task.py
@@ -58,7 +58,7 @@
     def send(self, address: str, message: HomeLookup | HomeUpdate) -> None:
         """Send a lookup or an update to a home node."""
 
-    def answer(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
+    def reply(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
         """Reply to a lookup of another node."""
 
 
@@ -131,7 +131,7 @@
         """Reply to another node's lookup of a prefix whose home is this node."""
 
         def reply(scheduler: Scheduler, now: float) -> None:
-            self._home_link.answer(address, head, self._registry.lookup(head, plan, now))
+            self._home_link.reply(address, head, self._registry.lookup(head, plan, now))
 
         self._call(reply)
 
--- a/tests/unit/forwarding/test_dispatcher.py
+++ b/tests/unit/forwarding/test_dispatcher.py
@@ -104,9 +104,9 @@
     dispatcher = make_dispatcher(Clock())
     first = serve(dispatcher, QueryId("n1", 1), query("5e55", "o1"))
     for node in range(2, 6):
-        again = serve(dispatcher, QueryId(f"n{node}", 1), query("5e55", f"o{node}"))
-        assert again.worker is first.worker
-        assert again.read_tokens == 1000
+        later = serve(dispatcher, QueryId(f"n{node}", 1), query("5e55", f"o{node}"))
+        assert later.worker is first.worker
+        assert later.read_tokens == 1000
 
 
 def test_concurrent_queries_for_a_prompt_prefill_its_shared_part_once():
@@ -175,7 +175,7 @@
     assert dispatcher.placement.load(worker).running <= 1
 
 
-def test_a_worker_that_only_one_node_cannot_reach_is_not_suspected():
+def test_an_unreachable_report_is_ignored_while_another_node_has_recent_contact():
     clock = Clock()
     dispatcher = make_dispatcher(clock)
     worker = dispatcher.grant(QueryId("n1", 1), query("5e55", "o1")).worker.info.id
@@ -220,16 +220,16 @@
     assert dispatcher.grant(QueryId("n2", 3), query("5e55", target_seconds=1.0)) is not None
 
 
-@pytest.mark.parametrize("urgent_target", [0.1, 0.5, 0.8, 2.0])
-@pytest.mark.parametrize("urgent_reads", [0.0, 0.3, 3.0])
+@pytest.mark.parametrize("urgent_target_seconds", [0.1, 0.5, 0.8, 2.0])
+@pytest.mark.parametrize("urgent_prefill_seconds", [0.0, 0.3, 3.0])
 def test_a_more_urgent_request_may_wait_at_least_as_long_as_a_less_urgent_one(
-    urgent_target, urgent_reads
+    urgent_target_seconds, urgent_prefill_seconds
 ):
     limits = AdmissionLimits()
     for _ in range(2):
-        urgent = limits.longest_wait(0, urgent_target, urgent_reads)
+        urgent = limits.longest_wait(0, urgent_target_seconds, urgent_prefill_seconds)
         patient = limits.longest_wait(1, 0.8, 0.3)
-        assert limits.longest_wait(0, urgent_target, urgent_reads) >= patient
+        assert limits.longest_wait(0, urgent_target_seconds, urgent_prefill_seconds) >= patient
     assert urgent >= patient
 
 
--- a/tests/unit/test_prefix_index.py
+++ b/tests/unit/test_prefix_index.py
@@ -53,7 +53,7 @@
     calls = {
         "replace": lambda: index.set_incarnation(engine, incarnation),
         "store": lambda: index.record_stored(engine, incarnation, keys, now),
-        "answer": lambda: index.record_answer(engine, incarnation, keys, 64, 1.0, now),
+        "answer": lambda: index.record_response(engine, incarnation, keys, 64, 1.0, now),
         "remove": lambda: index.record_removed(engine, incarnation, keys),
         "clear": lambda: index.record_cleared(engine, incarnation),
         "forget": lambda: index.discard_engine(engine),
@@ -92,9 +92,9 @@
     index.set_incarnation("a", "1")
     keys = prefix_keys(SALTS[0], PROMPTS[0])
     before = index.residence_seconds("a")
-    index.record_answer("a", "1", keys, 0, 1.0, 1.0)
+    index.record_response("a", "1", keys, 0, 1.0, 1.0)
     assert index.residence_seconds("a") < before
-    index.record_answer("a", "1", keys, 192, 20.0, 21.0)
+    index.record_response("a", "1", keys, 192, 20.0, 21.0)
     assert index.residence_seconds("a") >= 20.0
 
 
