--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -61,7 +61,7 @@
     placement: Placement
     began_at: float
     had_first_token: bool = False
-    charge: Charge | None = None
+    tenant_charge: Charge | None = None
 
 
 class Dispatcher:
@@ -109,27 +109,27 @@
         if existing is not None:
             return existing.placement
         try:
-            charge = self._limits.take(query)
+            tenant_charge = self._limits.take(query)
         except NoAuthority:
             # The querying node is about to follow another dispatcher.
             return None
-        placement = self._place(query, charge)
+        placement = self._place(query, tenant_charge)
         if placement is not None:
             self.grants_issued += 1
             began_at = self.placement.begin(placement)
-            self._grants[query_id] = _Grant(placement, began_at, charge=charge)
+            self._grants[query_id] = _Grant(placement, began_at, tenant_charge=tenant_charge)
         return placement
 
-    def _place(self, query: PlacementQuery, charge: Charge | None) -> Placement | None:
+    def _place(self, query: PlacementQuery, tenant_charge: Charge | None) -> Placement | None:
         """Choose a worker; refund the charge when there is none."""
         try:
             placement = self._choice.choose(query, self._clock())
         except Overloaded:
-            self._limits.give_back(charge)
+            self._limits.give_back(tenant_charge)
             self.overload_refusals += 1
             raise
         if placement is None:
-            self._limits.give_back(charge)
+            self._limits.give_back(tenant_charge)
         return placement
 
     def count(self, query_id: QueryId, query: PlacementQuery) -> None:
@@ -183,7 +183,7 @@
         self._end_not_run(query_id)
 
     def _end_not_run(self, query_id: QueryId) -> None:
-        self._limits.give_back(self._grants[query_id].charge)
+        self._limits.give_back(self._grants[query_id].tenant_charge)
         self._end(query_id)
 
     def _record_first_token(self, grant: _Grant) -> None:
