--- a/src/wheelslip/forwarding/job.py
+++ b/src/wheelslip/forwarding/job.py
@@ -6,7 +6,7 @@
 import h11
 
 from wheelslip.deployment import ForwardedRequest, Incarnation, Route, Tenant
-from wheelslip.routing.fingerprint import content_fingerprint
+from wheelslip.routing.fingerprint import request_fingerprint
 
 
 @dataclass(frozen=True)
@@ -72,4 +72,4 @@
         """Fingerprint of method, target, tenant and body."""
         request = self.request
         tenant = self.tenant.name if self.tenant is not None else ""
-        return content_fingerprint(request.method, request.target, tenant, request.body)
+        return request_fingerprint(request.method, request.target, tenant, request.body)
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -254,7 +254,7 @@
         separation = self._separation.setdefault(query.stream_group, PromptSeparation())
         prefill_seconds = query.prompt_tokens / PREFILL_TOKENS_PER_SECOND
         is_long = prefill_seconds > LONG_PROMPT_PAUSE_SHARE * query.pause_seconds
-        separation.note(prefill_seconds, is_long, self._clock())
+        separation.record(prefill_seconds, is_long, self._clock())
         # Streams of short requests last longest and delay the loading of new weights at their
         # worker, so short requests start on the newest weights.
         outdated = self._with_outdated_weights(query.model, candidates)
