--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -602,7 +602,7 @@
         "a grant is used that was not counted for its worker's limit",
         FORWARDING,
         "peers/dispatch_link.py",
-        "if not answer.counted and self._limits.rate(answer.worker) is not None:",
+        "if not reply.charged and self._limits.rate(reply.worker) is not None:",
         "if False:",
         "forwarding/test_worker_limits.py::test_a_grant_that_was_not_counted_is_handed_back",
     ),
--- a/src/wheelslip/peers/datagrams.py
+++ b/src/wheelslip/peers/datagrams.py
@@ -1,7 +1,7 @@
-"""The socket by which forwarding nodes send each other datagrams.
+"""Datagram socket for messages between forwarding nodes.
 
-A datagram is one netstring of JSON: the name of a kind of message and its content. Each kind
-is taken by the task that registered for it; bytes that are no such message are counted.
+A datagram is one netstring of JSON that holds the kind of the message and its content. Each kind
+is passed to the handler registered for it; datagrams that cannot be decoded are counted.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 
 MessageT = TypeVar("MessageT")
 
-MAX_TARGETS = 1024
-"""Addresses that are kept parsed; a few times the nodes of the largest deployment planned for."""
+MAX_CACHED_ADDRESSES = 1024
+"""Maximum number of parsed addresses in the cache."""
 
 
-@functools.lru_cache(maxsize=MAX_TARGETS)
-def _target(address: str) -> tuple[str, int] | None:
-    """Return host and port, ``None`` where there are none."""
+@functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
+def _parse_address(address: str) -> tuple[str, int] | None:
+    """Return host and port, or ``None`` if the address is invalid."""
     try:
         parsed = Address.parse(address)
     except ValueError:
@@ -41,7 +41,11 @@
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """Owns the socket; hands each message to whoever registered for its kind."""
+    """UDP socket that dispatches received messages by kind.
+
+    :ivar refused: number of received datagrams that could not be decoded.
+    :ivar misaddressed: number of messages not sent because of an invalid address.
+    """
 
     def __init__(self):
         self._transport: asyncio.DatagramTransport | None = None
@@ -53,15 +57,18 @@
     def register(
         self, kind: str, message_type: type[MessageT], handle: Callable[[MessageT, str], None]
     ) -> None:
-        """Have messages of a kind handed on, each with its sender's address ``IP:PORT``."""
+        """Register a handler for messages of a kind.
+
+        :param handle: called with the message and the address of its sender, ``IP:PORT``.
+        """
         self._receivers[kind] = _Receiver(message_type, handle)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a message on; bytes that are none are counted and dropped."""
+        """Pass a message to its handler; invalid datagrams are counted and dropped."""
         try:
             envelope = decode_frame(data, _Envelope)
             receiver = self._receivers[envelope.kind]
@@ -72,7 +79,7 @@
         receiver.handle(message, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed; whoever waits for it gives up by itself."""
+        """Ignore the error: senders that expect a reply use timeouts."""
 
     async def listen(self, host: str, port: int) -> None:
         """Bind the socket."""
@@ -89,16 +96,15 @@
         self.send_to([address], kind, message)
 
     def send_to(self, addresses: list[str], kind: str, message: object) -> None:
-        """Send one message to several addresses; those that cannot be parsed are counted.
+        """Send one message to several addresses; invalid addresses are skipped and counted.
 
-        Addresses come from keys of the store: one that another writer spoilt must not end the
-        telling to all others.
+        Addresses are read from the store, where one may be corrupt.
         """
         if not self.open:
             return
         frame = encode_frame((kind, message))
         for address in addresses:
-            target = _target(address)
+            target = _parse_address(address)
             if target is None:
                 self.misaddressed += 1
                 continue
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -1,10 +1,10 @@
-"""Asks the dispatcher of a service for workers.
+"""Queries of a node to the dispatcher of a service.
 
-Every node can dispatch; who does for a service, all nodes read from the store alike. A
-dispatcher that does not answer at once is passed by, for the next one, and then the node
-chooses alone: a lost dispatcher costs some milliseconds and exactness, never a request.
-Nodes tell a new dispatcher what they have running and which prompts their workers have read
-of late, so that it knows what the last one knew.
+Every node can be a dispatcher; all nodes derive the dispatcher of a service from the store in the
+same way. If it does not reply in time, the node chooses a worker itself and backs off from that
+dispatcher; after several timeouts in a row the next dispatcher is used. Nodes report their running
+requests and recently cached prompts to a new dispatcher, so that it can rebuild the state of the
+previous one.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 from wheelslip.peers.dispatch_messages import (
     ASK,
     GRANT,
+    ITEMS_PER_DATAGRAM,
     KEPT,
-    PART_REQUESTS,
     RUNNING,
     TELL,
-    KeptTold,
-    ProgressTold,
-    RunningTold,
+    CachedPromptsReport,
+    ProgressReport,
+    RunningReport,
     WorkerAsk,
     WorkerGrant,
 )
@@ -41,40 +41,40 @@
 from wheelslip.routing.tenant_limits import TenantLimited
 from wheelslip.routing.worker_choice import WorkerPlacement
 
-SENDS = 2
-"""Times that a question is sent: datagrams are lost now and then."""
+MAX_SENDS = 2
+"""Maximum number of times a query is sent, since datagrams may be lost."""
 
 MOST_COUNTERS = 2
-"""Most other nodes that are asked to count a request: each silent one costs some 40 ms."""
+"""Maximum number of other meters that are queried to charge a request."""
 
-LIST_SECONDS = 1.0
-"""Pause between two lists of what a node has running."""
+RUNNING_REPORT_SECONDS = 1.0
+"""Interval between reports of running requests."""
 
-READ_SECONDS = 8.0
-"""A new dispatcher is told which prompts workers have read within this time: a worker's memory
-is turned over in about as long under load (large deployments, ten seconds)."""
+CACHED_PROMPT_SECONDS = 8.0
+"""Time for which a cached prompt is reported to new dispatchers; under load, workers evict it
+after about as long."""
 
-UNCOUNTED_SECONDS = 1.0
-"""A dispatcher that granted a limited worker without counting is not offered such workers for this
-long: it has just got a report of their limits, or it runs a build that knows none."""
+UNCHARGED_EXCLUSION_SECONDS = 1.0
+"""Time for which rate-limited workers are excluded from queries to a dispatcher that granted one
+without charging its limit: the limits may not have reached it, or its build may not support them."""
 
-MAX_READ = 256
-"""Most such prompts that a node remembers."""
+MAX_CACHED_PROMPTS = 256
+"""Maximum number of recorded prompts."""
 
 
-class _ReadPrompt(NamedTuple):
-    """A prompt that a worker has read, for a dispatcher that takes over."""
+class _RecentPrompt(NamedTuple):
+    """A prompt that a worker has cached, recorded for a new dispatcher."""
 
-    kept_until: float
+    expires_at: float
     service: str
-    kept: CachedPrompt
+    prompt: CachedPrompt
 
 
 @dataclass
 class Grant:
     """A worker granted to one request of this node.
 
-    :ivar dispatcher: address of the node that granted it.
+    :ivar dispatcher: address of the node that issued the grant.
     """
 
     ticket_id: TicketId
@@ -83,8 +83,8 @@
     placement: Placement
     had_first_token: bool = False
 
-    def as_running(self) -> RunningRequest:
-        """Return what another dispatcher needs to know of it."""
+    def as_running_request(self) -> RunningRequest:
+        """Return the request as reported to a dispatcher."""
         placement = self.placement
         return RunningRequest(
             self.ticket_id.ask,
@@ -97,18 +97,22 @@
 
 
 class DispatchLink:
-    """A node's side of dispatch, asking and answering.
-
-    :param address: of this node, ``IP:PORT``.
-    :param dispatchers_of: returns the addresses of the nodes that may be asked for a service,
-        the first choice first.
-    :param records: this node's own view of the workers.
-    :param counters: returns the other nodes that may count a request for its tenant's limit when
-        the dispatcher does not answer, the first choice first.
-    :param limits: what workers name.
-    :param report_limits: reports all of them to the node at an address.
-    :ivar incarnation: of this node, random at each start.
-    :ivar uncounted: grants handed back since they were not counted for their worker's limit.
+    """Requests grants from dispatchers and reports the progress of granted requests.
+
+    :param address: address of this node, ``IP:PORT``.
+    :param dispatcher: dispatcher of this node, called directly if it is the one to query.
+    :param dispatchers_of: returns the addresses of the dispatchers of a service in order of
+        preference.
+    :param records: load and failure records of this node.
+    :param meters: returns the other meters that may charge a request to its tenant's rate limit
+        if the dispatcher does not reply, in order of preference.
+    :param limits: rate limits that workers announce.
+    :param report_limits: reports these limits to the node at an address.
+    :ivar incarnation: incarnation of this node, random at each start.
+    :ivar granted: number of grants received.
+    :ivar alone: number of requests for which no dispatcher was available.
+    :ivar uncounted: number of grants returned because they were not charged to the rate limit of
+        their worker.
     """
 
     def __init__(
@@ -119,7 +123,7 @@
         records: WorkerPlacement,
         dispatchers_of: Callable[[str], list[str]],
         health: DispatcherHealth,
-        counters: Callable[[], list[str]],
+        meters: Callable[[], list[str]],
         limits: NamedLimits,
         report_limits: Callable[[str], None],
         clock: Callable[[], float],
@@ -131,138 +135,140 @@
         self._records = records
         self._dispatchers_of = dispatchers_of
         self._health = health
-        self._counters = counters
+        self._meters = meters
         self._limits = limits
         self._report_limits = report_limits
-        self._uncounting_until: dict[str, float] = {}
+        self._uncharged_until: dict[str, float] = {}
         self._clock = clock
         self.incarnation = f"{random_source.getrandbits(48):012x}"
-        self._asks = 0
-        self._waiting: dict[int, asyncio.Future[WorkerGrant]] = {}
+        self._last_query_number = 0
+        self._pending: dict[int, asyncio.Future[WorkerGrant]] = {}
         self._grants: dict[int, Grant] = {}
-        self._current: dict[str, tuple[str, str]] = {}
-        self._read: deque[_ReadPrompt] = deque(maxlen=MAX_READ)
+        self._current_dispatchers: dict[str, tuple[str, str]] = {}
+        self._recent_prompts: deque[_RecentPrompt] = deque(maxlen=MAX_CACHED_PROMPTS)
         self.granted = 0
         self.alone = 0
         self.uncounted = 0
-        socket.register(GRANT, WorkerGrant, self._answered)
-
-    # Asking
+        socket.register(GRANT, WorkerGrant, self._handle_reply)
 
     async def ask(self, query: PlacementQuery) -> Grant | None:
-        """Return a grant, ``None`` when no worker may take the request now.
+        """Return a grant, or ``None`` if no worker is available now.
 
-        :raises NoDispatcher: when this node has to choose by itself.
-        :raises Overloaded: when no worker can begin the request in time.
-        :raises TenantLimited: when its tenant is over its limit.
+        :raises NoDispatcher: if this node has to choose a worker itself.
+        :raises Overloaded: if no worker can start the request in time.
+        :raises TenantLimited: if the tenant has exceeded its rate limit.
         """
         try:
-            return await self._ask(query)
+            return await self._request_grant(query)
         except NoDispatcher:
             self.alone += 1
             raise
 
     async def count(self, query: PlacementQuery) -> None:
-        """Count a request for its tenant's limit whose worker this node chooses by itself.
+        """Charge a request whose worker this node chooses itself to its tenant's rate limit.
 
-        :raises TenantLimited: when the tenant is over its limit.
-        :raises NoAuthority: when no node can count it just now.
+        :raises TenantLimited: if the tenant has exceeded its rate limit.
+        :raises NoAuthority: if no meter can charge the request now.
         """
         ticket_id = self._next_ticket()
-        ask = WorkerAsk.of(ticket_id, query, counts_only=True)
-        for meter in self._counters()[:MOST_COUNTERS]:
+        message = WorkerAsk.of(ticket_id, query, charge_only=True)
+        for meter in self._meters()[:MOST_COUNTERS]:
             with contextlib.suppress(NoDispatcher):
-                answer = await self._exchange(meter, ask)
-                if answer.limited:
-                    raise TenantLimited(query.tenant, answer.retry_seconds)
-                if answer.counted:
+                reply = await self._send_query(meter, message)
+                if reply.tenant_limited:
+                    raise TenantLimited(query.tenant, reply.retry_seconds)
+                if reply.charged:
                     return
         self._dispatcher.count(ticket_id, query)
 
     def _next_ticket(self) -> TicketId:
-        self._asks += 1
-        return TicketId(self.incarnation, self._asks)
+        self._last_query_number += 1
+        return TicketId(self.incarnation, self._last_query_number)
 
-    async def _ask(self, query: PlacementQuery) -> Grant | None:
+    async def _request_grant(self, query: PlacementQuery) -> Grant | None:
         address = self._health.choose(self._dispatchers_of(query.service))
         ticket_id = self._next_ticket()
         if address == self._address:
             placement = self._dispatcher.ask(ticket_id, query)
-            self._note_current(query.service, address, self.incarnation)
-            return self._keep(ticket_id, address, query.service, placement)
-        if self._clock() < self._uncounting_until.get(address, 0.0):
-            query = query._replace(excluded=query.excluded | self._limited(query.service))
-        answer = await self._exchange(address, WorkerAsk.of(ticket_id, query))
-        self._note_current(query.service, address, answer.dispatcher)
-        return self._take(ticket_id, address, query, answer)
-
-    async def _exchange(self, address: str, ask: WorkerAsk) -> WorkerGrant:
-        """Ask, and ask once more.
-
-        :raises NoDispatcher: when no answer comes in time.
+            self._update_dispatcher(query.service, address, self.incarnation)
+            return self._record_grant(ticket_id, address, query.service, placement)
+        if self._clock() < self._uncharged_until.get(address, 0.0):
+            query = query._replace(
+                excluded=query.excluded | self._rate_limited_workers(query.service)
+            )
+        reply = await self._send_query(address, WorkerAsk.of(ticket_id, query))
+        self._update_dispatcher(query.service, address, reply.dispatcher)
+        return self._process_reply(ticket_id, address, query, reply)
+
+    async def _send_query(self, address: str, message: WorkerAsk) -> WorkerGrant:
+        """Send a query and return the reply; resend it after a timeout.
+
+        :raises NoDispatcher: if no reply is received in time.
         """
         fut = asyncio.get_running_loop().create_future()
-        self._waiting[ask.ask] = fut
+        self._pending[message.query_number] = fut
         sent_at = self._clock()
         try:
-            for _ in range(SENDS):
-                self._socket.send(address, ASK, ask)
+            for _ in range(MAX_SENDS):
+                self._socket.send(address, ASK, message)
                 await asyncio.wait([fut], timeout=self._health.timeout_seconds(address))
                 if fut.done():
                     self._health.answered(address, self._clock() - sent_at)
                     return fut.result()
         finally:
-            del self._waiting[ask.ask]
+            del self._pending[message.query_number]
         self._health.missed(address)
         raise NoDispatcher
 
-    def _take(
-        self, ticket_id: TicketId, address: str, query: PlacementQuery, answer: WorkerGrant
+    def _process_reply(
+        self, ticket_id: TicketId, address: str, query: PlacementQuery, reply: WorkerGrant
     ) -> Grant | None:
-        if answer.limited:
-            raise TenantLimited(query.tenant, answer.retry_seconds)
-        if answer.retry_seconds:
-            raise Overloaded(answer.retry_seconds)
-        if not answer.worker:
+        if reply.tenant_limited:
+            raise TenantLimited(query.tenant, reply.retry_seconds)
+        if reply.retry_seconds:
+            raise Overloaded(reply.retry_seconds)
+        if not reply.worker:
             return None
-        worker = self._records.worker(answer.worker)
+        worker = self._records.worker(reply.worker)
         if worker is None or not self._records.accepts(worker, query):
-            # This node knows better: the worker leaves or rests, or its weights are too old.
-            self._send(address, ticket_id, Progress.UNUSED)
+            # In this node's view the worker is not available for the request.
+            self._send_progress(address, ticket_id, Progress.UNUSED)
             raise NoDispatcher
-        if not answer.counted and self._limits.rate(answer.worker) is not None:
-            self._hand_back_uncounted(address, ticket_id, answer.worker)
+        if not reply.charged and self._limits.rate(reply.worker) is not None:
+            self._return_uncharged_grant(address, ticket_id, reply.worker)
             raise NoDispatcher
-        version = answer.weights_version
+        version = reply.weights_version
         chain = query.chain(version)
         cache = None
         if chain:
-            cache = CachePlan(query.salt(version), answer.fetch_from, answer.save_to)
+            cache = CachePlan(query.salt(version), reply.fetch_from, reply.save_to)
         placement = Placement(
             worker,
             version,
             chain,
-            answer.prefill_tokens,
+            reply.prefill_tokens,
             held_tokens=query.prompt_tokens + query.output_tokens,
             cache=cache,
-            rate_limit_charged=answer.counted,
+            rate_limit_charged=reply.charged,
         )
-        return self._keep(ticket_id, address, query.service, placement)
+        return self._record_grant(ticket_id, address, query.service, placement)
 
-    def _limited(self, service: str) -> frozenset[Incarnation]:
-        """Return the workers of a service that name a limit."""
-        starts = self._limits.limited_starts()
-        return frozenset(one for one in starts if self._records.serves(one, service))
+    def _rate_limited_workers(self, service: str) -> frozenset[Incarnation]:
+        """Return the workers of a service that announce a rate limit."""
+        workers = self._limits.limited_starts()
+        return frozenset(worker for worker in workers if self._records.serves(worker, service))
 
-    def _hand_back_uncounted(self, address: str, ticket_id: TicketId, worker: Incarnation) -> None:
-        """Hand back a limited worker that a dispatcher granted without counting."""
+    def _return_uncharged_grant(
+        self, address: str, ticket_id: TicketId, worker: Incarnation
+    ) -> None:
+        """Return the grant of a rate-limited worker that was not charged to its limit."""
         self.uncounted += 1
         log_event(LogEvent.GRANT_UNCOUNTED, dispatcher=address, incarnation=worker)
-        self._uncounting_until[address] = self._clock() + UNCOUNTED_SECONDS
+        self._uncharged_until[address] = self._clock() + UNCHARGED_EXCLUSION_SECONDS
         self._report_limits(address)
-        self._send(address, ticket_id, Progress.UNUSED)
+        self._send_progress(address, ticket_id, Progress.UNUSED)
 
-    def _keep(
+    def _record_grant(
         self, ticket_id: TicketId, address: str, service: str, placement: Placement | None
     ) -> Grant | None:
         if placement is None:
@@ -273,73 +279,83 @@
         return grant
 
     def tell(self, grant: Grant, progress: Progress) -> None:
-        """Tell how a granted request goes on; all but a first token ends it."""
+        """Report progress to the dispatchers; all values but ``FIRST_TOKEN`` end the grant."""
         if progress is Progress.FIRST_TOKEN:
             grant.had_first_token = True
-            self._note_read(grant)
+            self._record_cached_prompt(grant)
         else:
             self._grants.pop(grant.ticket_id.ask, None)
-        current, _ = self._current.get(grant.service, (grant.dispatcher, ""))
+        current, _ = self._current_dispatchers.get(grant.service, (grant.dispatcher, ""))
         for address in {grant.dispatcher, current}:
-            self._send(address, grant.ticket_id, progress)
+            self._send_progress(address, grant.ticket_id, progress)
 
-    def _note_read(self, grant: Grant) -> None:
+    def _record_cached_prompt(self, grant: Grant) -> None:
         placement = grant.placement
         if placement.chain:
-            kept = CachedPrompt(placement.worker.info.id, placement.chain)
-            self._read.append(_ReadPrompt(self._clock() + READ_SECONDS, grant.service, kept))
+            prompt = CachedPrompt(placement.worker.info.id, placement.chain)
+            self._recent_prompts.append(
+                _RecentPrompt(self._clock() + CACHED_PROMPT_SECONDS, grant.service, prompt)
+            )
 
-    def _send(self, address: str, ticket_id: TicketId, progress: Progress) -> None:
+    def _send_progress(self, address: str, ticket_id: TicketId, progress: Progress) -> None:
         if address == self._address:
             self._dispatcher.progress(ticket_id, progress)
         else:
-            self._socket.send(address, TELL, ProgressTold(*ticket_id, progress))
-
-    # What runs here
+            self._socket.send(address, TELL, ProgressReport(*ticket_id, progress))
 
     async def run(self) -> None:
-        """List what runs here to the dispatchers, for ever."""
+        """Report running requests to the dispatchers periodically until cancelled."""
         while True:
-            await asyncio.sleep(LIST_SECONDS)
-            for service in {one.service for one in self._grants.values()}:
-                self._list(service)
+            await asyncio.sleep(RUNNING_REPORT_SECONDS)
+            for service in {grant.service for grant in self._grants.values()}:
+                self._report_running(service)
 
-    def _note_current(self, service: str, address: str, incarnation: str) -> None:
-        """Tell a dispatcher that is new for a service what runs here."""
-        if self._current.get(service) == (address, incarnation):
+    def _update_dispatcher(self, service: str, address: str, incarnation: str) -> None:
+        """Record the dispatcher of a service and report the state of this node if it is new."""
+        if self._current_dispatchers.get(service) == (address, incarnation):
             return
-        self._current[service] = (address, incarnation)
+        self._current_dispatchers[service] = (address, incarnation)
         log_event(LogEvent.DISPATCHER_FOLLOWED, dispatcher=address, workload=service)
-        self._list(service)
-        self._tell_read(service, address)
+        self._report_running(service)
+        self._report_cached_prompts(service, address)
 
-    def _tell_read(self, service: str, address: str) -> None:
+    def _report_cached_prompts(self, service: str, address: str) -> None:
         now = self._clock()
-        kept = [one.kept for one in self._read if one.service == service and now < one.kept_until]
-        for first in range(0, len(kept), PART_REQUESTS):
-            part = kept[first : first + PART_REQUESTS]
+        prompts = [
+            recent.prompt
+            for recent in self._recent_prompts
+            if recent.service == service and now < recent.expires_at
+        ]
+        for start in range(0, len(prompts), ITEMS_PER_DATAGRAM):
+            part = prompts[start : start + ITEMS_PER_DATAGRAM]
             if address == self._address:
                 self._dispatcher.kept(part)
             else:
-                self._socket.send(address, KEPT, KeptTold(part))
+                self._socket.send(address, KEPT, CachedPromptsReport(part))
 
-    def _list(self, service: str) -> None:
-        address, _ = self._current.get(service, ("", ""))
-        grants = [one for one in self._grants.values() if one.service == service]
-        asks = list(self._grants)
+    def _report_running(self, service: str) -> None:
+        address, _ = self._current_dispatchers.get(service, ("", ""))
+        grants = [grant for grant in self._grants.values() if grant.service == service]
+        query_numbers = list(self._grants)
         if not address:
             return
-        for first in range(0, max(1, len(grants)), PART_REQUESTS):
-            part = [one.as_running() for one in grants[first : first + PART_REQUESTS]]
+        for start in range(0, max(1, len(grants)), ITEMS_PER_DATAGRAM):
+            part = [
+                grant.as_running_request() for grant in grants[start : start + ITEMS_PER_DATAGRAM]
+            ]
             if address == self._address:
-                self._dispatcher.running(self.incarnation, asks, part)
+                self._dispatcher.running(self.incarnation, query_numbers, part)
             else:
-                self._socket.send(address, RUNNING, RunningTold(self.incarnation, asks, part))
+                self._socket.send(
+                    address, RUNNING, RunningReport(self.incarnation, query_numbers, part)
+                )
 
-    def _answered(self, grant: WorkerGrant, sender: str) -> None:
-        fut = self._waiting.get(grant.ask)
+    def _handle_reply(self, reply: WorkerGrant, sender: str) -> None:
+        fut = self._pending.get(reply.query_number)
         if fut is not None and not fut.done():
-            fut.set_result(grant)
-        elif grant.worker and grant.ask not in self._grants:
-            # Too late: another dispatcher or this node has chosen meanwhile.
-            self._send(sender, TicketId(self.incarnation, grant.ask), Progress.UNUSED)
+            fut.set_result(reply)
+        elif reply.worker and reply.query_number not in self._grants:
+            # The query timed out or was cancelled, so the grant is not used.
+            self._send_progress(
+                sender, TicketId(self.incarnation, reply.query_number), Progress.UNUSED
+            )
--- a/src/wheelslip/peers/dispatch_messages.py
+++ b/src/wheelslip/peers/dispatch_messages.py
@@ -1,4 +1,4 @@
-"""What nodes and dispatchers tell each other, each in one datagram."""
+"""Messages between nodes, dispatchers and meters; each fits in one datagram."""
 
 from typing import NamedTuple
 
@@ -19,47 +19,49 @@
 RELEASED = "released"
 
 MAX_CONNECTED = 8
-"""Most idle connections that a question names, so that it fits a packet of 1,400 bytes."""
+"""Maximum number of workers with idle connections in a query, which has to fit in 1,400 bytes."""
 
 MAX_EXCLUDED = 24
-"""Most workers that a question rules out, for the same reason."""
+"""Maximum number of excluded workers in a query, for the same reason."""
 
-PART_REQUESTS = 8
-"""Running requests in one datagram, for the same reason."""
+ITEMS_PER_DATAGRAM = 8
+"""Running requests or cached prompts in one datagram, for the same reason."""
 
 
 class WorkerAsk(NamedTuple):
-    """Asks for a worker; repeated with the same ticket, it gives the same grant.
+    """Requests a worker. A repeated query with the same id returns the same grant.
 
-    :ivar counts_only: the node chooses the worker by itself; the request is only counted for
-        its tenant's limit.
+    :ivar query_number: number of the query at the node.
+    :ivar sent_before: the request was sent to a worker before.
+    :ivar charge_only: the node chooses the worker itself; the request is only charged to the
+        rate limit of its tenant.
     """
 
     node: str
-    ask: int
+    query_number: int
     service: str
     stream_group: str
     model: str
     prompt_tokens: int
     output_tokens: int
     prompt: list[tuple[str, int]]
-    wall: str
+    cache_namespace: str
     pause_seconds: float
     target_seconds: float
     priority: int
     zone: str
     connected: list[Incarnation]
     excluded: list[Incarnation]
-    begun: bool
+    sent_before: bool
     tenant: str = ""
     limit_units: float = 0.0
-    counts_only: bool = False
+    charge_only: bool = False
 
     @classmethod
     def of(
-        cls, ticket_id: TicketId, query: PlacementQuery, counts_only: bool = False
+        cls, ticket_id: TicketId, query: PlacementQuery, charge_only: bool = False
     ) -> "WorkerAsk":
-        """Return the question for one request."""
+        """Return the message for a placement query."""
         return cls(
             *ticket_id,
             query.service,
@@ -78,15 +80,15 @@
             query.sent_before,
             query.tenant,
             query.limit_units,
-            counts_only,
+            charge_only,
         )
 
     def ticket_id(self) -> TicketId:
-        """Return what names the ticket."""
-        return TicketId(self.node, self.ask)
+        """Return the identifier of the query."""
+        return TicketId(self.node, self.query_number)
 
     def query(self) -> PlacementQuery:
-        """Return the question as the choice of a worker sees it."""
+        """Return the placement query for the choice of a worker."""
         return PlacementQuery(
             self.service,
             self.stream_group,
@@ -94,33 +96,36 @@
             self.prompt_tokens,
             self.output_tokens,
             tuple(PromptPart(*part) for part in self.prompt),
-            self.wall,
+            self.cache_namespace,
             self.pause_seconds,
             self.target_seconds,
             self.priority,
             self.zone,
             frozenset(self.connected),
             frozenset(self.excluded),
-            self.begun,
+            self.sent_before,
             self.tenant,
             self.limit_units,
         )
 
 
 class WorkerGrant(NamedTuple):
-    """Answers a question.
+    """Reply to a :class:`WorkerAsk`.
 
+    :ivar query_number: number of the query at the node that sent it.
     :ivar dispatcher: incarnation of the dispatcher.
-    :ivar worker: ``None`` when none may take the request now.
-    :ivar retry_seconds: then, after how long it may be worth asking again.
-    :ivar limited: the tenant is over its limit, and its turn comes after that time.
-    :ivar counted: the request was counted for its tenant's limit, as was asked, or for the limit
-        that the granted worker names. Builds before such limits never say so of a granted worker.
-    :ivar fetch_from: where the worker fetches KV cache; empty for nowhere.
-    :ivar save_to: the store to which it saves the prompt; empty for none.
+    :ivar worker: granted worker, or ``None`` if no worker is available.
+    :ivar prefill_tokens: prompt tokens that the worker still has to compute.
+    :ivar fetch_from: address from which the worker fetches KV cache; empty for none.
+    :ivar save_to: cache store to which the worker saves the prompt; empty for none.
+    :ivar retry_seconds: delay before a retry if no worker was granted; 0 if none is suggested.
+    :ivar tenant_limited: the tenant has exceeded its rate limit; retry after ``retry_seconds``.
+    :ivar charged: a charge-only query was charged to the tenant's rate limit, or a grant was
+        charged to the rate limit of its worker. Builds without worker rate limits never set it
+        for a grant.
     """
 
-    ask: int
+    query_number: int
     dispatcher: str
     worker: Incarnation | None = None
     weights_version: int | None = None
@@ -128,62 +133,65 @@
     fetch_from: str = ""
     save_to: str = ""
     retry_seconds: float = 0.0
-    limited: bool = False
-    counted: bool = False
+    tenant_limited: bool = False
+    charged: bool = False
 
 
-class ProgressTold(NamedTuple):
-    """How a granted request goes on."""
+class ProgressReport(NamedTuple):
+    """Reports the progress of a granted request."""
 
     node: str
-    ask: int
+    query_number: int
     progress: Progress
 
 
-class RunningTold(NamedTuple):
-    """What a node has running by grants.
+class RunningReport(NamedTuple):
+    """Reports the granted requests that run at a node.
 
-    :ivar asks: the numbers of all of it, so what is not among them has ended.
-    :ivar requests: a part of it, for a dispatcher that does not know it.
+    :ivar query_numbers: numbers of all running requests; grants that are not listed have ended.
+    :ivar requests: some of these requests in full, for a dispatcher that has no record of them.
     """
 
     node: str
-    asks: list[int]
+    query_numbers: list[int]
     requests: list[RunningRequest]
 
 
-class KeptTold(NamedTuple):
-    """Prompts that workers have read of late, the oldest first."""
+class CachedPromptsReport(NamedTuple):
+    """Reports prompts that workers have cached recently, oldest first."""
 
     prompts: list[CachedPrompt]
 
 
-class VoteTold(NamedTuple):
-    """Gives the sender's vote for the tenants' limits to the receiver.
+class Vote(NamedTuple):
+    """Votes for the receiver as the meter of the rate limits.
 
-    :ivar is_probe: gives no vote, only asks whether the receiver is there.
+    :ivar is_probe: the message is no vote and only checks that the receiver responds.
     """
 
     is_probe: bool
 
 
-class VoteTaken(NamedTuple):
-    """Answers a vote.
+class VoteReply(NamedTuple):
+    """Reply to a :class:`Vote`.
 
-    :ivar fleet: number of nodes, as far as the meter knows.
+    :ivar fleet_size: number of nodes observed by the meter; 0 if unknown.
     """
 
-    fleet: int
+    fleet_size: int
 
 
-class VotesTold(NamedTuple):
-    """How many valid votes the sender has, and how long the last of them holds."""
+class VoteCountReport(NamedTuple):
+    """Reports the number of valid votes that the sender holds.
+
+    :ivar remaining_seconds: remaining validity of the latest vote.
+    """
 
     votes: int
-    seconds: float
+    remaining_seconds: float
 
 
-class VoteReleased(NamedTuple):
-    """The sender stops: what it was given as a vote may go to another at once."""
+class VoteRelease(NamedTuple):
+    """Releases the votes held by the sender, which stops; they may be cast again at once."""
 
     votes: int
--- a/src/wheelslip/peers/dispatch_server.py
+++ b/src/wheelslip/peers/dispatch_server.py
@@ -1,4 +1,4 @@
-"""Answers other nodes' questions for workers, and hears how their requests go on."""
+"""Handles placement queries and progress reports of other nodes."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
     KEPT,
     RUNNING,
     TELL,
-    KeptTold,
-    ProgressTold,
-    RunningTold,
+    CachedPromptsReport,
+    ProgressReport,
+    RunningReport,
     WorkerAsk,
     WorkerGrant,
 )
@@ -23,9 +23,9 @@
 
 
 class DispatchServer:
-    """The dispatcher of this node, as other nodes reach it.
+    """Serves the dispatcher of this node to other nodes.
 
-    :param incarnation: of this node, random at each start.
+    :param incarnation: incarnation of this node, random at each start.
     :param report_limits: reports the rate limits of workers to the node at an address.
     """
 
@@ -41,60 +41,64 @@
         self._dispatcher = dispatcher
         self._report_limits = report_limits
         socket.register(ASK, WorkerAsk, self._asked)
-        socket.register(TELL, ProgressTold, self._told)
-        socket.register(RUNNING, RunningTold, self._listed)
-        socket.register(KEPT, KeptTold, self._told_kept)
+        socket.register(TELL, ProgressReport, self._handle_progress)
+        socket.register(RUNNING, RunningReport, self._handle_running)
+        socket.register(KEPT, CachedPromptsReport, self._handle_cached_prompts)
 
-    def _asked(self, ask: WorkerAsk, sender: str) -> None:
-        grant = self._count(ask) if ask.counts_only else self._grant(ask)
+    def _asked(self, query: WorkerAsk, sender: str) -> None:
+        grant = self._charge(query) if query.charge_only else self._grant(query)
         self._socket.send(sender, GRANT, grant)
         is_refused = grant.worker is None and not grant.retry_seconds
-        if is_refused and not ask.counts_only:
-            # A node that does not know the limits asks one that does not count for them.
+        if is_refused and not query.charge_only:
+            # The refusal may be due to worker rate limits that the sender has not received.
             self._report_limits(sender)
 
-    def _grant(self, ask: WorkerAsk) -> WorkerGrant:
+    def _grant(self, query: WorkerAsk) -> WorkerGrant:
         try:
-            placement = self._dispatcher.ask(ask.ticket_id(), ask.query())
+            placement = self._dispatcher.ask(query.ticket_id(), query.query())
         except Overloaded as exc:
-            return WorkerGrant(ask.ask, self._incarnation, retry_seconds=exc.retry_seconds)
+            return WorkerGrant(
+                query.query_number, self._incarnation, retry_seconds=exc.retry_seconds
+            )
         except TenantLimited as exc:
-            return self._limited(ask, exc)
+            return self._refuse_tenant(query, exc)
         if placement is None:
-            return WorkerGrant(ask.ask, self._incarnation)
-        return self._granted(ask, placement)
+            return WorkerGrant(query.query_number, self._incarnation)
+        return self._grant_placement(query, placement)
 
-    def _granted(self, ask: WorkerAsk, placement: Placement) -> WorkerGrant:
+    def _grant_placement(self, query: WorkerAsk, placement: Placement) -> WorkerGrant:
         cache = placement.cache or CachePlan("")
         return WorkerGrant(
-            ask.ask,
+            query.query_number,
             self._incarnation,
             placement.worker.info.id,
             placement.weights_version,
             placement.prefill_tokens,
             cache.fetch_from,
             cache.save_to,
-            counted=placement.rate_limit_charged,
+            charged=placement.rate_limit_charged,
         )
 
-    def _count(self, ask: WorkerAsk) -> WorkerGrant:
+    def _charge(self, query: WorkerAsk) -> WorkerGrant:
         try:
-            self._dispatcher.count(ask.ticket_id(), ask.query())
+            self._dispatcher.count(query.ticket_id(), query.query())
         except TenantLimited as exc:
-            return self._limited(ask, exc)
+            return self._refuse_tenant(query, exc)
         except NoAuthority:
-            return WorkerGrant(ask.ask, self._incarnation)
-        return WorkerGrant(ask.ask, self._incarnation, counted=True)
+            return WorkerGrant(query.query_number, self._incarnation)
+        return WorkerGrant(query.query_number, self._incarnation, charged=True)
 
-    def _limited(self, ask: WorkerAsk, exc: TenantLimited) -> WorkerGrant:
+    def _refuse_tenant(self, query: WorkerAsk, exc: TenantLimited) -> WorkerGrant:
         seconds = exc.retry_seconds
-        return WorkerGrant(ask.ask, self._incarnation, retry_seconds=seconds, limited=True)
+        return WorkerGrant(
+            query.query_number, self._incarnation, retry_seconds=seconds, tenant_limited=True
+        )
 
-    def _told(self, told: ProgressTold, sender: str) -> None:
-        self._dispatcher.progress(TicketId(told.node, told.ask), told.progress)
+    def _handle_progress(self, report: ProgressReport, sender: str) -> None:
+        self._dispatcher.progress(TicketId(report.node, report.query_number), report.progress)
 
-    def _told_kept(self, told: KeptTold, sender: str) -> None:
-        self._dispatcher.kept(told.prompts)
+    def _handle_cached_prompts(self, report: CachedPromptsReport, sender: str) -> None:
+        self._dispatcher.kept(report.prompts)
 
-    def _listed(self, told: RunningTold, sender: str) -> None:
-        self._dispatcher.running(told.node, told.asks, told.requests)
+    def _handle_running(self, report: RunningReport, sender: str) -> None:
+        self._dispatcher.running(report.node, report.query_numbers, report.requests)
--- a/src/wheelslip/peers/dispatcher_health.py
+++ b/src/wheelslip/peers/dispatcher_health.py
@@ -1,4 +1,4 @@
-"""Which dispatchers answer, as one node finds."""
+"""Availability of dispatchers as observed by one node."""
 
 import random
 from collections.abc import Callable
@@ -7,37 +7,36 @@
 from wheelslip.events import LogEvent, log_event
 from wheelslip.peers.round_trip import RoundTrip
 
-MISSES_OF_A_LOST_DISPATCHER = 3
-"""Questions in a row without an answer after which the next dispatcher is asked. Until then a
-node chooses alone: a dispatcher that is only slow knows more than one that takes over."""
+TIMEOUTS_BEFORE_FAILOVER = 3
+"""Consecutive queries without a reply after which the next dispatcher is used. Until then, the
+node chooses workers itself: a new dispatcher has fewer records than one that is only slow."""
 
-PASSED_BY_SECONDS = (0.4, 1.2)
-"""Range of the time for which a silent dispatcher is not asked; random, so that few nodes
-try it again at one time."""
+BACKOFF_SECONDS = (0.4, 1.2)
+"""Range of the backoff after a query without a reply; random to spread the retries of nodes."""
 
-LOST_SECONDS = 5.0
-"""A dispatcher that is taken for lost is not asked for this long."""
+FAILOVER_SECONDS = 5.0
+"""Time for which a dispatcher is skipped after a failover."""
 
 
 class NoDispatcher(Exception):
-    """No dispatcher answered in time, or none is known."""
+    """Raised when no dispatcher is available or none replies in time."""
 
 
 @dataclass
 class _Peer:
-    """Another node as a dispatcher.
+    """State of one dispatcher.
 
-    :ivar misses: questions in a row that it has not answered.
+    :ivar timeouts: consecutive queries without a reply.
     """
 
     round_trip: RoundTrip = field(default_factory=RoundTrip)
-    misses: int = 0
-    passed_by_until: float = 0.0
-    lost_until: float = 0.0
+    timeouts: int = 0
+    backoff_until: float = 0.0
+    skipped_until: float = 0.0
 
 
 class DispatcherHealth:
-    """Keeps how each dispatcher has answered this node."""
+    """Tracks the reply times and timeouts of dispatchers."""
 
     def __init__(self, clock: Callable[[], float], random_source: random.Random):
         self._clock = clock
@@ -48,43 +47,47 @@
         return self._peers.setdefault(address, _Peer())
 
     def timeout_seconds(self, address: str) -> float:
-        """Return how long an answer is awaited."""
+        """Return the timeout for a reply of a dispatcher."""
         return self._peer(address).round_trip.timeout_seconds
 
     def choose(self, addresses: list[str]) -> str:
-        """Return whom to ask for a worker, of dispatchers in the order of preference.
+        """Return the dispatcher to query.
 
-        :raises NoDispatcher: when the one to ask does not answer just now.
+        :param addresses: dispatchers in order of preference.
+        :raises NoDispatcher: if the preferred dispatcher is in backoff or none is left.
         """
         now = self._clock()
         for address in addresses:
             peer = self._peer(address)
-            if peer.lost_until > now:
+            if peer.skipped_until > now:
                 continue
-            if peer.passed_by_until > now:
+            if peer.backoff_until > now:
                 raise NoDispatcher
             return address
         raise NoDispatcher
 
     def answers(self, address: str) -> bool:
-        """Return whether a dispatcher has answered this node's last question, if there was one."""
+        """Return whether a dispatcher replied to the last query, or was not queried yet."""
         peer = self._peer(address)
-        return not peer.misses and peer.lost_until <= self._clock()
+        return not peer.timeouts and peer.skipped_until <= self._clock()
 
     def answered(self, address: str, seconds: float) -> None:
-        """An answer came, this long after its question was first sent."""
+        """Record a reply.
+
+        :param seconds: time since the query was first sent.
+        """
         peer = self._peer(address)
         peer.round_trip.observe(seconds)
-        peer.misses = 0
+        peer.timeouts = 0
 
     def missed(self, address: str) -> None:
-        """No answer came: the dispatcher is passed by for a while."""
+        """Record a query without a reply and back off from the dispatcher."""
         now = self._clock()
         peer = self._peer(address)
-        peer.misses += 1
+        peer.timeouts += 1
         peer.round_trip.back_off()
-        peer.passed_by_until = now + self._random.uniform(*PASSED_BY_SECONDS)
-        if peer.misses >= MISSES_OF_A_LOST_DISPATCHER:
-            peer.lost_until = now + LOST_SECONDS
-            peer.misses = 0
-        log_event(LogEvent.DISPATCHER_LOST, dispatcher=address, misses=peer.misses)
+        peer.backoff_until = now + self._random.uniform(*BACKOFF_SECONDS)
+        if peer.timeouts >= TIMEOUTS_BEFORE_FAILOVER:
+            peer.skipped_until = now + FAILOVER_SECONDS
+            peer.timeouts = 0
+        log_event(LogEvent.DISPATCHER_LOST, dispatcher=address, misses=peer.timeouts)
--- a/src/wheelslip/peers/limit_reports.py
+++ b/src/wheelslip/peers/limit_reports.py
@@ -1,9 +1,9 @@
-"""Reports the rate limits that workers name to other nodes, and takes their reports.
+"""Exchange of the rate limits that workers announce.
 
-A node reports what it sees in answers to all relays at once, since one of them counts for the
-limits: a limit that is news, and each answer without one while it still believes in one. The relays
-decide when a limit has ended, and pass changes on to the nodes that follow them. Reports are
-repeated: datagrams are lost, and a relay that has started again knows nothing.
+A node reports observations from responses to all relays at once, because one of them meters the
+limits: a new or changed limit, and each response without a limit while one is recorded. The relays
+decide when a limit is lifted and forward changes to their followers. Reports are repeated because
+datagrams may be lost and a restarted relay has no records.
 """
 
 import asyncio
@@ -14,29 +14,29 @@
 from wheelslip.routing.named_limits import LimitReport, NamedLimits
 
 LIMITS = "limits"
-"""Kind of the messages."""
+"""Kind of the datagrams."""
 
-REPEAT_SECONDS = 1.0
-"""Pause between two reports of a limit that has not changed."""
+REPORT_INTERVAL_SECONDS = 1.0
+"""Interval between repeated reports of an unchanged limit."""
 
-PART_REPORTS = 16
-"""Reports in one datagram, so that it fits a packet of 1,400 bytes."""
+REPORTS_PER_DATAGRAM = 16
+"""Reports in one datagram, which has to fit in 1,400 bytes."""
 
 
-class LimitsReported(NamedTuple):
-    """Limits of some workers as the sender believes them."""
+class LimitReportBatch(NamedTuple):
+    """Reports the limits of some workers as recorded by the sender."""
 
     reports: list[LimitReport]
 
 
 class LimitReports:
-    """Reports limits to other nodes.
+    """Sends and receives reports of worker rate limits.
 
-    :param address: of this node, ``IP:PORT``.
-    :param take: takes the report of the node at an address, and whether answers without a limit are
-        to be counted; returns whether it changed a belief.
+    :param address: address of this node, ``IP:PORT``.
+    :param apply_report: applies a report of the node at an address; the flag states if responses
+        without a limit count towards lifting it. Returns whether the recorded limit changed.
     :param relays: returns the addresses of all relays.
-    :param followers: returns the addresses of the nodes that follow this one.
+    :param followers: returns the addresses of the followers of this node.
     """
 
     def __init__(
@@ -44,61 +44,68 @@
         address: str,
         socket: DatagramSocket,
         limits: NamedLimits,
-        take: Callable[[LimitReport, str, bool], bool],
+        apply_report: Callable[[LimitReport, str, bool], bool],
         relays: Callable[[], list[str]],
         followers: Callable[[], list[str]],
     ):
         self._address = address
         self._socket = socket
         self._limits = limits
-        self._take = take
+        self._apply_report = apply_report
         self._relays = relays
         self._followers = followers
-        socket.register(LIMITS, LimitsReported, self._received)
+        socket.register(LIMITS, LimitReportBatch, self._handle_reports)
 
     async def run(self) -> None:
-        """Repeat reports for ever."""
+        """Repeat reports periodically until cancelled."""
         while True:
-            await asyncio.sleep(REPEAT_SECONDS)
-            self._repeat()
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
+            self._repeat_reports()
 
-    def _repeat(self) -> None:
-        """Repeat what answers to this node have shown; a relay repeats all that it believes."""
+    def _repeat_reports(self) -> None:
+        """Repeat the direct observations of this node, or all recorded limits if it is a relay."""
         direct = self._limits.direct_reports()
         if self._is_relay():
             receivers = {*self._relays(), *self._followers()}
-            self._send(self._others(receivers), self._limits.reports())
+            self._send(self._without_self(receivers), self._limits.reports())
         else:
-            self._send(self._others(self._relays()), direct)
+            self._send(self._without_self(self._relays()), direct)
 
     def announce(self, report: LimitReport) -> None:
-        """Report what this node has seen in an answer."""
-        self._send(self._others(self._relays()), [report])
+        """Report an observation from a response to this node."""
+        self._send(self._without_self(self._relays()), [report])
         if self._is_relay() and self._limits.rate(report.start) == report.rate:
-            self._send(self._others(self._followers()), [report])
+            self._send(self._without_self(self._followers()), [report])
 
     def report_to(self, address: str) -> None:
-        """Report all limits to a node that may not know them."""
+        """Report all recorded limits to the node at an address."""
         self._send([address], self._limits.reports())
 
     def _is_relay(self) -> bool:
         return self._address in self._relays()
 
-    def _others(self, addresses: Iterable[str]) -> list[str]:
+    def _without_self(self, addresses: Iterable[str]) -> list[str]:
         return sorted(set(addresses) - {self._address})
 
     def _send(self, addresses: list[str], reports: list[LimitReport]) -> None:
         if not addresses:
             return
-        for first in range(0, len(reports), PART_REPORTS):
-            part = LimitsReported(reports[first : first + PART_REPORTS])
+        for start in range(0, len(reports), REPORTS_PER_DATAGRAM):
+            part = LimitReportBatch(reports[start : start + REPORTS_PER_DATAGRAM])
             self._socket.send_to(addresses, LIMITS, part)
 
-    def _received(self, message: LimitsReported, sender: str) -> None:
+    def _handle_reports(self, message: LimitReportBatch, sender: str) -> None:
         is_relay = self._is_relay()
-        changed = [one.start for one in message.reports if self._take(one, sender, is_relay)]
+        changed = [
+            report.start
+            for report in message.reports
+            if self._apply_report(report, sender, is_relay)
+        ]
         if not is_relay:
             return
-        self._send(self._others(self._followers()), [self._limits.report(one) for one in changed])
-        # A node that missed the end of a limit would hand back grants for ever.
+        self._send(
+            self._without_self(self._followers()),
+            [self._limits.report(incarnation) for incarnation in changed],
+        )
+        # A sender that missed the lifting of a limit would keep returning uncharged grants.
         self._send([sender], self._limits.contradicted(message.reports))
--- a/src/wheelslip/peers/limit_votes.py
+++ b/src/wheelslip/peers/limit_votes.py
@@ -1,6 +1,7 @@
-"""The task by which nodes vote for the meter of the tenants' limits.
+"""Election of the meter that charges requests to the rate limits.
 
-See :mod:`wheelslip.routing.limit_authority` for what a vote is worth.
+Every node periodically votes for one meter. The votes that a node holds determine the share of the
+limits that it may grant, see :mod:`wheelslip.routing.limit_authority`.
 """
 
 import asyncio
@@ -12,28 +13,28 @@
     VOTE,
     VOTED,
     VOTES,
-    VoteReleased,
-    VotesTold,
-    VoteTaken,
-    VoteTold,
+    Vote,
+    VoteCountReport,
+    VoteRelease,
+    VoteReply,
 )
 from wheelslip.routing.limit_authority import VOTE_SECONDS, VotedAuthority
 from wheelslip.routing.tenant_limits import TenantLimits
 
 TICK_SECONDS = 0.25
-"""Pause between two votes: a third of their validity."""
+"""Interval between votes: a third of their validity, so that two may be lost."""
 
-STOPPING_SECONDS = 10.0
-"""A meter that stops is not voted for again within this time; its process ends before."""
+STOPPED_METER_EXCLUSION_SECONDS = 10.0
+"""Time for which a meter that released its votes is excluded; its process stops within it."""
 
 
 class LimitVotes:
-    """Votes for this node, and takes the votes of others.
+    """Casts the votes of this node and records the votes of other nodes.
 
-    :param address: of this node.
-    :param meters: returns the addresses of the nodes that may count, the first choice first.
-    :param answers: returns whether a meter has answered this node's last question.
-    :param active: whether any tenant has a limit.
+    :param address: address of this node.
+    :param meters: returns the addresses of the possible meters in order of preference.
+    :param is_responsive: returns whether a meter replied to the last query of this node.
+    :param has_limits: returns whether any tenant or worker has a rate limit.
     """
 
     def __init__(
@@ -43,8 +44,8 @@
         authority: VotedAuthority,
         limits: TenantLimits,
         meters: Callable[[], list[str]],
-        answers: Callable[[str], bool],
-        active: Callable[[], bool],
+        is_responsive: Callable[[str], bool],
+        has_limits: Callable[[], bool],
         clock: Callable[[], float],
     ):
         self._address = address
@@ -52,53 +53,55 @@
         self._authority = authority
         self._limits = limits
         self._meters = meters
-        self._answers = answers
-        self._active = active
+        self._is_responsive = is_responsive
+        self._has_limits = has_limits
         self._clock = clock
         self._valid_until: dict[str, float] = {}
-        self._passed_by_until: dict[str, float] = {}
-        self._unanswered: set[str] = set()
-        socket.register(VOTE, VoteTold, self._voted)
-        socket.register(VOTED, VoteTaken, self._taken)
-        socket.register(VOTES, VotesTold, self._told)
-        socket.register(RELEASED, VoteReleased, self._released)
+        self._excluded_until: dict[str, float] = {}
+        self._awaiting_reply: set[str] = set()
+        socket.register(VOTE, Vote, self._handle_vote)
+        socket.register(VOTED, VoteReply, self._handle_vote_reply)
+        socket.register(VOTES, VoteCountReport, self._handle_vote_count)
+        socket.register(RELEASED, VoteRelease, self._handle_release)
 
     async def run(self) -> None:
-        """Vote for ever."""
+        """Vote periodically until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            if self._active():
+            if self._has_limits():
                 self.tick()
 
     def tick(self) -> None:
-        """Vote, unless another meter still has this node's vote."""
+        """Vote unless another meter still holds a valid vote, and report the votes held."""
         now = self._clock()
         self._limits.trim()
         self._vote(now)
         votes = len(self._authority.voters())
         if votes:
-            self._tell_votes(votes)
+            self._report_vote_count(votes)
 
-    def _tell_votes(self, votes: int) -> None:
-        others = [one for one in self._meters() if one != self._address]
-        seconds = self._authority.valid_seconds()
-        self._socket.send_to(others, VOTES, VotesTold(votes, seconds))
+    def _report_vote_count(self, votes: int) -> None:
+        other_meters = [meter for meter in self._meters() if meter != self._address]
+        remaining_seconds = self._authority.valid_seconds()
+        self._socket.send_to(other_meters, VOTES, VoteCountReport(votes, remaining_seconds))
 
     def counters(self) -> list[str]:
-        """Return whom this node asks to count a request that no dispatcher counts."""
+        """Return the other meters that may charge a request if the dispatcher does not reply."""
         now = self._clock()
-        meters = [one for one in self._meters() if self._passed_by_until.get(one, 0.0) <= now]
-        return [one for one in meters if one != self._address and self._answers(one)]
+        meters = [meter for meter in self._meters() if self._excluded_until.get(meter, 0.0) <= now]
+        return [meter for meter in meters if meter != self._address and self._is_responsive(meter)]
 
     def _vote(self, now: float) -> None:
-        """Vote for the first meter that answers, or for this node itself.
+        """Vote for the first responsive meter, or for this node.
 
-        A meter that has left the last vote without an answer gets no further one, but is asked
-        whether it is there; it keeps this node's vote while that is valid.
+        A meter that did not reply to the last vote is only probed. It holds that vote until the
+        vote expires, and this node votes for no other meter until then.
         """
-        meter = self._meter(now)
-        self._valid_until = {key: until for key, until in self._valid_until.items() if now < until}
-        if any(one != meter for one in self._valid_until):
+        meter = self._choose_meter(now)
+        self._valid_until = {
+            address: until for address, until in self._valid_until.items() if now < until
+        }
+        if any(holder != meter for holder in self._valid_until):
             return
         self._valid_until[meter] = now + VOTE_SECONDS
         if meter == self._address:
@@ -106,40 +109,40 @@
         else:
             self._send_vote(meter, is_probe=False)
 
-    def _meter(self, now: float) -> str:
+    def _choose_meter(self, now: float) -> str:
         for meter in self._meters():
-            if self._passed_by_until.get(meter, 0.0) > now:
+            if self._excluded_until.get(meter, 0.0) > now:
                 continue
-            if meter == self._address or meter not in self._unanswered:
+            if meter == self._address or meter not in self._awaiting_reply:
                 return meter
             self._send_vote(meter, is_probe=True)
         return self._address
 
     def _send_vote(self, meter: str, is_probe: bool) -> None:
-        self._unanswered.add(meter)
-        self._socket.send(meter, VOTE, VoteTold(is_probe))
+        self._awaiting_reply.add(meter)
+        self._socket.send(meter, VOTE, Vote(is_probe))
 
     def release(self) -> None:
-        """Give all votes back, before this node stops."""
+        """Release all votes held, before this node stops."""
         voters = self._authority.release()
-        others = [one for one in voters if one != self._address]
-        self._tell_votes(0)
-        self._socket.send_to(others, RELEASED, VoteReleased(len(voters)))
+        other_voters = [voter for voter in voters if voter != self._address]
+        self._report_vote_count(0)
+        self._socket.send_to(other_voters, RELEASED, VoteRelease(len(voters)))
 
-    def _voted(self, vote: VoteTold, sender: str) -> None:
+    def _handle_vote(self, vote: Vote, sender: str) -> None:
         if not vote.is_probe:
             self._authority.vote(sender)
-        self._socket.send(sender, VOTED, VoteTaken(self._authority.fleet))
+        self._socket.send(sender, VOTED, VoteReply(self._authority.fleet))
 
-    def _taken(self, taken: VoteTaken, sender: str) -> None:
-        self._unanswered.discard(sender)
-        self._authority.note_fleet(taken.fleet)
+    def _handle_vote_reply(self, reply: VoteReply, sender: str) -> None:
+        self._awaiting_reply.discard(sender)
+        self._authority.note_fleet(reply.fleet_size)
 
-    def _told(self, told: VotesTold, sender: str) -> None:
-        self._authority.told(sender, told.votes, told.seconds)
+    def _handle_vote_count(self, report: VoteCountReport, sender: str) -> None:
+        self._authority.told(sender, report.votes, report.remaining_seconds)
 
-    def _released(self, released: VoteReleased, sender: str) -> None:
+    def _handle_release(self, release: VoteRelease, sender: str) -> None:
         now = self._clock()
         self._valid_until.pop(sender, None)
-        self._passed_by_until[sender] = now + STOPPING_SECONDS
+        self._excluded_until[sender] = now + STOPPED_METER_EXCLUSION_SECONDS
         self._vote(now)
--- a/tests/probe/forwarding/test_peers.py
+++ b/tests/probe/forwarding/test_peers.py
@@ -1,4 +1,4 @@
-"""Nodes learn what others have at workers, through the relay of their zone."""
+"""Exchange of worker loads between nodes, through the relay of their zone."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from tests.probe.forwarding.test_path import PROMPT
 
 
-async def test_nodes_of_a_zone_learn_each_others_loads(site):
+async def test_nodes_of_a_zone_receive_each_others_loads(site):
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1", model="m", seconds=30), "engines")
     seed = f"127.0.0.1:{free_port()}"
@@ -19,13 +19,13 @@
     caller = await site.caller("n1")
     caller.send("/stream/x", "r1", **PROMPT)
     await until(lambda: worker.runs, "request runs")
-    await until(lambda: second.running_at("i-1") == 1, "the other node was told")
+    await until(lambda: second.running_at("i-1") == 1, "the load is reported to the other node")
     caller.leave()
-    await until(lambda: second.running_at("i-1") == 0, "and told of its end")
+    await until(lambda: second.running_at("i-1") == 0, "the end is reported")
     assert first.running_at("i-1") == 0
 
 
-async def test_bytes_that_are_no_news_change_nothing(site):
+async def test_invalid_datagrams_are_ignored(site):
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1"), "plain")
     address = f"127.0.0.1:{free_port()}"
@@ -37,7 +37,7 @@
     assert worker.runs and node.running_at("i-1") == 0
 
 
-async def test_a_stop_ends_all_tasks_without_a_fault(site, caplog):
+async def test_stop_ends_all_tasks_without_warning(site, caplog):
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1", seconds=4), "plain")
     node = await site.add_node("n1", peers=f"127.0.0.1:{free_port()}", seeds=["127.0.0.1:9"])
@@ -47,7 +47,7 @@
     await until(lambda: worker.runs, "request runs")
     with caplog.at_level("WARNING", logger="wheelslip"):
         await node.stop()
-        # Longer than the pause between two news.
+        # Longer than the interval between two reports.
         await asyncio.sleep(0.6)
     assert [record.getMessage() for record in caplog.records] == []
     assert (await caller.answer()).status == 200
--- a/tests/unit/forwarding/test_dispatch_messages.py
+++ b/tests/unit/forwarding/test_dispatch_messages.py
@@ -1,16 +1,16 @@
-"""Messages between nodes and dispatchers."""
+"""Size and encoding of the messages between nodes and dispatchers."""
 
 from wheelslip.deployment import PromptPart
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatch_messages import (
     ASK,
+    ITEMS_PER_DATAGRAM,
     KEPT,
     MAX_CONNECTED,
     MAX_EXCLUDED,
-    PART_REQUESTS,
     RUNNING,
-    KeptTold,
-    RunningTold,
+    CachedPromptsReport,
+    RunningReport,
     WorkerAsk,
 )
 from wheelslip.routing.dispatcher import TicketId
@@ -25,7 +25,7 @@
 WORKER = "i-0123456789"
 
 
-def asked(parts: int = 6) -> WorkerAsk:
+def worker_query(parts: int = 6) -> WorkerAsk:
     query = PlacementQuery(
         "service-name",
         "service-name",
@@ -44,32 +44,32 @@
     return WorkerAsk.of(TicketId(NODE, 12_345), query)
 
 
-def test_each_message_fits_a_packet():
+def test_each_message_fits_in_a_packet():
     running = RunningRequest(12_345, WORKER, 12, CHAIN, 12_345, 12_345)
-    asks = list(range(10_000, 10_040))
-    ruled_out = [f"{WORKER}/{1_764_700_000_000 + number}" for number in range(MAX_EXCLUDED)]
+    query_numbers = list(range(10_000, 10_040))
+    excluded = [f"{WORKER}/{1_764_700_000_000 + number}" for number in range(MAX_EXCLUDED)]
     frames = [
-        (ASK, asked()),
-        (ASK, asked()._replace(excluded=ruled_out, connected=ruled_out[:MAX_CONNECTED])),
-        (RUNNING, RunningTold(NODE, asks, [running] * PART_REQUESTS)),
-        (KEPT, KeptTold([CachedPrompt(WORKER, CHAIN)] * PART_REQUESTS)),
+        (ASK, worker_query()),
+        (ASK, worker_query()._replace(excluded=excluded, connected=excluded[:MAX_CONNECTED])),
+        (RUNNING, RunningReport(NODE, query_numbers, [running] * ITEMS_PER_DATAGRAM)),
+        (KEPT, CachedPromptsReport([CachedPrompt(WORKER, CHAIN)] * ITEMS_PER_DATAGRAM)),
     ]
-    assert max(len(encode_frame(one)) for one in frames) <= MAX_PACKET_BYTES
+    assert max(len(encode_frame(frame)) for frame in frames) <= MAX_PACKET_BYTES
 
 
-def test_a_question_arrives_as_it_was_asked_and_garbage_is_counted():
-    heard = []
+def test_query_is_received_unchanged_and_invalid_datagrams_are_counted():
+    received = []
     socket = DatagramSocket()
-    socket.register(ASK, WorkerAsk, lambda message, sender: heard.append((message, sender)))
-    socket.datagram_received(encode_frame((ASK, asked())), ("10.0.0.1", 7))
+    socket.register(ASK, WorkerAsk, lambda message, sender: received.append((message, sender)))
+    socket.datagram_received(encode_frame((ASK, worker_query())), ("10.0.0.1", 7))
     for garbage in (b"", b"7:garbage,", encode_frame(("other", 1)), encode_frame((ASK, {"a": 1}))):
         socket.datagram_received(garbage, ("10.0.0.1", 7))
-    [(message, sender)] = heard
+    [(message, sender)] = received
     assert sender == "10.0.0.1:7" and socket.refused == 4
     assert message.ticket_id() == TicketId(NODE, 12_345)
     assert WorkerAsk.of(message.ticket_id(), message.query()) == message
 
 
-def test_a_question_rules_so_many_workers_out_and_no_more():
-    query = PlacementQuery("s", excluded=frozenset(f"i-{one}" for one in range(100)))
+def test_number_of_excluded_workers_in_a_query_is_bounded():
+    query = PlacementQuery("s", excluded=frozenset(f"i-{number}" for number in range(100)))
     assert len(WorkerAsk.of(TicketId(NODE, 1), query).excluded) == MAX_EXCLUDED
--- a/tests/unit/forwarding/test_misaddressed_datagrams.py
+++ b/tests/unit/forwarding/test_misaddressed_datagrams.py
@@ -1,8 +1,6 @@
-"""An address that cannot be parsed ended the telling to all other nodes.
+"""An invalid address must not keep a message from the other receivers.
 
-Addresses of relays stand in keys of the store. With one of them spoilt, ``send_to`` raised ``invalid
-literal for int()``, and the tasks that tell relays and ask dispatchers failed with it; a name in
-place of an IP would have been looked up by the system, with the event loop standing still.
+Host names count as invalid, because resolving them would block the event loop.
 """
 
 from wheelslip.peers.datagrams import DatagramSocket
@@ -19,11 +17,11 @@
         self.sent.append(target)
 
 
-def test_the_others_are_told():
+def test_invalid_addresses_are_skipped_and_counted():
     socket = DatagramSocket()
     transport = Transport()
     socket.connection_made(transport)
-    spoilt = ["", "nonsense", "10.0.0.1:", "10.0.0.1:99999", "host.example:1"]
-    socket.send_to(["10.0.0.1:1", *spoilt, "10.0.0.2:2"], "kind", {})
+    invalid = ["", "nonsense", "10.0.0.1:", "10.0.0.1:99999", "host.example:1"]
+    socket.send_to(["10.0.0.1:1", *invalid, "10.0.0.2:2"], "kind", {})
     assert transport.sent == [("10.0.0.1", 1), ("10.0.0.2", 2)]
-    assert socket.misaddressed == len(spoilt)
+    assert socket.misaddressed == len(invalid)
