--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -16,7 +16,7 @@
     WorkerInfo,
     WorkerState,
 )
-from wheelslip.peers.dispatch_messages import WorkerAsk, WorkerGrant
+from wheelslip.peers.dispatch_messages import WorkerGrant, WorkerQuery
 from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
 from wheelslip.routing.fleet_choice import FleetPlacement
 from wheelslip.routing.limit_authority import WholeAuthority
@@ -82,10 +82,10 @@
     source, running, spent = random.Random(2), [], 0.0
     for number in range(REQUESTS):
         ticket_id = TicketId("0123456789ab", number)
-        frame = encode_frame(("ask", WorkerAsk.of(ticket_id, _query(number, source))))
+        frame = encode_frame(("ask", WorkerQuery.of(ticket_id, _query(number, source))))
         began = time.perf_counter()
-        _, ask = decode_frame(frame, tuple[str, WorkerAsk])
-        placement = dispatcher.ask(ask.ticket_id(), ask.query())
+        _, ask = decode_frame(frame, tuple[str, WorkerQuery])
+        placement = dispatcher.ask(ask.ticket_id(), ask.placement_query())
         encode_frame(("grant", WorkerGrant(number, "0123456789ab", placement.worker.info.id)))
         dispatcher.progress(ticket_id, Progress.FIRST_TOKEN)
         if len(running) == RUNNING:
--- a/src/wheelslip/forwarding/assignment.py
+++ b/src/wheelslip/forwarding/assignment.py
@@ -6,7 +6,7 @@
 from wheelslip.forwarding.registry import Registry
 from wheelslip.forwarding.worker_pool import WorkerPool
 from wheelslip.peers.dispatch_link import DispatchLink, Grant
-from wheelslip.peers.dispatcher_health import NoDispatcher
+from wheelslip.peers.dispatcher_health import DispatcherUnavailable
 from wheelslip.routing.dispatcher import Progress
 from wheelslip.routing.placement import Placement, PlacementQuery
 from wheelslip.routing.tenant_limits import TenantLimits
@@ -107,7 +107,7 @@
 
     def _report(self, progress: Progress) -> None:
         if self._grant is not None:
-            self._link.tell(self._grant, progress)
+            self._link.report_progress(self._grant, progress)
 
 
 class WorkerAssigner:
@@ -155,8 +155,8 @@
         query = self._query(job, service)
         if self._link is not None and self._uses_dispatcher():
             try:
-                grant = await self._link.ask(query)
-            except NoDispatcher:
+                grant = await self._link.request_grant(query)
+            except DispatcherUnavailable:
                 await self._charge_quota(job, query)
             else:
                 return grant and self._assignment(grant.placement, grant)
@@ -178,7 +178,7 @@
         if self._link is None:
             self._limits.take(query)
         else:
-            await self._link.count(query)
+            await self._link.charge(query)
         job.quota_charged = True
 
     def _query(self, job: Job, service: str) -> PlacementQuery:
--- a/src/wheelslip/forwarding/limit_meter.py
+++ b/src/wheelslip/forwarding/limit_meter.py
@@ -62,7 +62,7 @@
             self.authority,
             self.limits,
             relay.by_tenure,
-            health.answers,
+            health.is_responsive,
             lambda: bool(self._in_force()) or self._registry.limits.count() > 0,
             self._clock,
         )
@@ -77,7 +77,7 @@
 
     def counters(self) -> list[str]:
         """Return whom this node asks to count a request that no dispatcher counts."""
-        return self.votes.counters() if self.votes is not None else []
+        return self.votes.available_meters() if self.votes is not None else []
 
     def release(self) -> None:
         """Give this node's authority back, before it stops."""
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -42,7 +42,7 @@
 from wheelslip.peers.dispatch_link import DispatchLink
 from wheelslip.peers.dispatch_server import DispatchServer
 from wheelslip.peers.dispatcher_health import DispatcherHealth
-from wheelslip.peers.limit_reports import LimitReports
+from wheelslip.peers.limit_reports import LimitReporter
 from wheelslip.routing.dispatcher import Dispatcher
 from wheelslip.routing.fleet_choice import FleetPlacement
 from wheelslip.routing.load_table import LoadTable
@@ -117,7 +117,7 @@
         )
         self._dispatcher = Dispatcher(self._fleet, self._meter.limits, self._meter.allowance, clock)
         notices = self._registry.notices
-        self._limit_reports = LimitReports(
+        self._limit_reports = LimitReporter(
             section.peers,
             self._datagrams,
             notices.limits,
@@ -125,7 +125,7 @@
             lambda: self._relay.by_tenure() if self._relay else [],
             self._feed.heard,
         )
-        notices.report_limit = self._limit_reports.announce
+        notices.report_limit = self._limit_reports.report_observation
         self._dispatch_link = DispatchLink(
             section.peers,
             self._datagrams,
@@ -312,9 +312,9 @@
             "saved_prompts": lambda: float(len(self._table.saved)),
             "datagrams_misaddressed": lambda: float(self._datagrams.misaddressed),
             "datagram_bytes_sent": lambda: float(self._datagrams.bytes_sent),
-            "dispatched_requests": lambda: float(self._dispatch_link.granted),
-            "requests_placed_alone": lambda: float(self._dispatch_link.alone),
-            "uncounted_grants": lambda: float(self._dispatch_link.uncounted),
+            "dispatched_requests": lambda: float(self._dispatch_link.grants_received),
+            "requests_placed_alone": lambda: float(self._dispatch_link.local_choices),
+            "uncounted_grants": lambda: float(self._dispatch_link.uncharged_grants),
             "grants_given": lambda: float(self._dispatcher.given),
             "requests_held_back": lambda: float(self._dispatcher.held_back),
             "granted_requests": lambda: float(self._dispatcher.granted),
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -19,19 +19,19 @@
 from wheelslip.events import LogEvent, log_event
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatch_messages import (
-    ASK,
+    CACHED_PROMPTS,
     GRANT,
     ITEMS_PER_DATAGRAM,
-    KEPT,
+    PROGRESS,
+    QUERY,
     RUNNING,
-    TELL,
     CachedPromptsReport,
     ProgressReport,
     RunningReport,
-    WorkerAsk,
     WorkerGrant,
+    WorkerQuery,
 )
-from wheelslip.peers.dispatcher_health import DispatcherHealth, NoDispatcher
+from wheelslip.peers.dispatcher_health import DispatcherHealth, DispatcherUnavailable
 from wheelslip.routing.dispatcher import Dispatcher, Progress, TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
 from wheelslip.routing.fleet_memory import CachedPrompt
@@ -44,7 +44,7 @@
 MAX_SENDS = 2
 """Maximum number of times a query is sent, since datagrams may be lost."""
 
-MOST_COUNTERS = 2
+MAX_METERS_QUERIED = 2
 """Maximum number of other meters that are queried to charge a request."""
 
 RUNNING_REPORT_SECONDS = 1.0
@@ -109,10 +109,10 @@
     :param limits: rate limits that workers announce.
     :param report_limits: reports these limits to the node at an address.
     :ivar incarnation: incarnation of this node, random at each start.
-    :ivar granted: number of grants received.
-    :ivar alone: number of requests for which no dispatcher was available.
-    :ivar uncounted: number of grants returned because they were not charged to the rate limit of
-        their worker.
+    :ivar grants_received: number of grants received.
+    :ivar local_choices: number of requests for which no dispatcher was available.
+    :ivar uncharged_grants: number of grants returned because they were not charged to the rate
+        limit of their worker.
     """
 
     def __init__(
@@ -146,34 +146,34 @@
         self._grants: dict[int, Grant] = {}
         self._current_dispatchers: dict[str, tuple[str, str]] = {}
         self._recent_prompts: deque[_RecentPrompt] = deque(maxlen=MAX_CACHED_PROMPTS)
-        self.granted = 0
-        self.alone = 0
-        self.uncounted = 0
+        self.grants_received = 0
+        self.local_choices = 0
+        self.uncharged_grants = 0
         socket.register(GRANT, WorkerGrant, self._handle_reply)
 
-    async def ask(self, query: PlacementQuery) -> Grant | None:
+    async def request_grant(self, query: PlacementQuery) -> Grant | None:
         """Return a grant, or ``None`` if no worker is available now.
 
-        :raises NoDispatcher: if this node has to choose a worker itself.
+        :raises DispatcherUnavailable: if this node has to choose a worker itself.
         :raises Overloaded: if no worker can start the request in time.
         :raises TenantLimited: if the tenant has exceeded its rate limit.
         """
         try:
             return await self._request_grant(query)
-        except NoDispatcher:
-            self.alone += 1
+        except DispatcherUnavailable:
+            self.local_choices += 1
             raise
 
-    async def count(self, query: PlacementQuery) -> None:
+    async def charge(self, query: PlacementQuery) -> None:
         """Charge a request whose worker this node chooses itself to its tenant's rate limit.
 
         :raises TenantLimited: if the tenant has exceeded its rate limit.
         :raises NoAuthority: if no meter can charge the request now.
         """
         ticket_id = self._next_ticket()
-        message = WorkerAsk.of(ticket_id, query, charge_only=True)
-        for meter in self._meters()[:MOST_COUNTERS]:
-            with contextlib.suppress(NoDispatcher):
+        message = WorkerQuery.of(ticket_id, query, charge_only=True)
+        for meter in self._meters()[:MAX_METERS_QUERIED]:
+            with contextlib.suppress(DispatcherUnavailable):
                 reply = await self._send_query(meter, message)
                 if reply.tenant_limited:
                     raise TenantLimited(query.tenant, reply.retry_seconds)
@@ -196,29 +196,29 @@
             query = query._replace(
                 excluded=query.excluded | self._rate_limited_workers(query.service)
             )
-        reply = await self._send_query(address, WorkerAsk.of(ticket_id, query))
+        reply = await self._send_query(address, WorkerQuery.of(ticket_id, query))
         self._update_dispatcher(query.service, address, reply.dispatcher)
         return self._process_reply(ticket_id, address, query, reply)
 
-    async def _send_query(self, address: str, message: WorkerAsk) -> WorkerGrant:
+    async def _send_query(self, address: str, message: WorkerQuery) -> WorkerGrant:
         """Send a query and return the reply; resend it after a timeout.
 
-        :raises NoDispatcher: if no reply is received in time.
+        :raises DispatcherUnavailable: if no reply is received in time.
         """
         fut = asyncio.get_running_loop().create_future()
         self._pending[message.query_number] = fut
         sent_at = self._clock()
         try:
             for _ in range(MAX_SENDS):
-                self._socket.send(address, ASK, message)
+                self._socket.send(address, QUERY, message)
                 await asyncio.wait([fut], timeout=self._health.timeout_seconds(address))
                 if fut.done():
-                    self._health.answered(address, self._clock() - sent_at)
+                    self._health.record_reply(address, self._clock() - sent_at)
                     return fut.result()
         finally:
             del self._pending[message.query_number]
-        self._health.missed(address)
-        raise NoDispatcher
+        self._health.record_timeout(address)
+        raise DispatcherUnavailable
 
     def _process_reply(
         self, ticket_id: TicketId, address: str, query: PlacementQuery, reply: WorkerGrant
@@ -233,10 +233,10 @@
         if worker is None or not self._records.accepts(worker, query):
             # In this node's view the worker is not available for the request.
             self._send_progress(address, ticket_id, Progress.UNUSED)
-            raise NoDispatcher
+            raise DispatcherUnavailable
         if not reply.charged and self._limits.rate(reply.worker) is not None:
             self._return_uncharged_grant(address, ticket_id, reply.worker)
-            raise NoDispatcher
+            raise DispatcherUnavailable
         version = reply.weights_version
         chain = query.chain(version)
         cache = None
@@ -262,7 +262,7 @@
         self, address: str, ticket_id: TicketId, worker: Incarnation
     ) -> None:
         """Return the grant of a rate-limited worker that was not charged to its limit."""
-        self.uncounted += 1
+        self.uncharged_grants += 1
         log_event(LogEvent.GRANT_UNCOUNTED, dispatcher=address, incarnation=worker)
         self._uncharged_until[address] = self._clock() + UNCHARGED_EXCLUSION_SECONDS
         self._report_limits(address)
@@ -273,12 +273,12 @@
     ) -> Grant | None:
         if placement is None:
             return None
-        self.granted += 1
+        self.grants_received += 1
         grant = Grant(ticket_id, address, service, placement)
         self._grants[ticket_id.ask] = grant
         return grant
 
-    def tell(self, grant: Grant, progress: Progress) -> None:
+    def report_progress(self, grant: Grant, progress: Progress) -> None:
         """Report progress to the dispatchers; all values but ``FIRST_TOKEN`` end the grant."""
         if progress is Progress.FIRST_TOKEN:
             grant.had_first_token = True
@@ -301,7 +301,7 @@
         if address == self._address:
             self._dispatcher.progress(ticket_id, progress)
         else:
-            self._socket.send(address, TELL, ProgressReport(*ticket_id, progress))
+            self._socket.send(address, PROGRESS, ProgressReport(*ticket_id, progress))
 
     async def run(self) -> None:
         """Report running requests to the dispatchers periodically until cancelled."""
@@ -331,7 +331,7 @@
             if address == self._address:
                 self._dispatcher.kept(part)
             else:
-                self._socket.send(address, KEPT, CachedPromptsReport(part))
+                self._socket.send(address, CACHED_PROMPTS, CachedPromptsReport(part))
 
     def _report_running(self, service: str) -> None:
         address, _ = self._current_dispatchers.get(service, ("", ""))
--- a/src/wheelslip/peers/dispatch_messages.py
+++ b/src/wheelslip/peers/dispatch_messages.py
@@ -8,15 +8,15 @@
 from wheelslip.routing.fleet_memory import CachedPrompt
 from wheelslip.routing.placement import PlacementQuery
 
-ASK = "ask"
+QUERY = "ask"
 GRANT = "grant"
-TELL = "tell"
+PROGRESS = "tell"
 RUNNING = "running"
-KEPT = "kept"
+CACHED_PROMPTS = "kept"
 VOTE = "vote"
-VOTED = "voted"
-VOTES = "votes"
-RELEASED = "released"
+VOTE_REPLY = "voted"
+VOTE_COUNT = "votes"
+VOTE_RELEASE = "released"
 
 MAX_CONNECTED = 8
 """Maximum number of workers with idle connections in a query, which has to fit in 1,400 bytes."""
@@ -28,7 +28,7 @@
 """Running requests or cached prompts in one datagram, for the same reason."""
 
 
-class WorkerAsk(NamedTuple):
+class WorkerQuery(NamedTuple):
     """Requests a worker. A repeated query with the same id returns the same grant.
 
     :ivar query_number: number of the query at the node.
@@ -60,7 +60,7 @@
     @classmethod
     def of(
         cls, ticket_id: TicketId, query: PlacementQuery, charge_only: bool = False
-    ) -> "WorkerAsk":
+    ) -> "WorkerQuery":
         """Return the message for a placement query."""
         return cls(
             *ticket_id,
@@ -87,7 +87,7 @@
         """Return the identifier of the query."""
         return TicketId(self.node, self.query_number)
 
-    def query(self) -> PlacementQuery:
+    def placement_query(self) -> PlacementQuery:
         """Return the placement query for the choice of a worker."""
         return PlacementQuery(
             self.service,
@@ -110,7 +110,7 @@
 
 
 class WorkerGrant(NamedTuple):
-    """Reply to a :class:`WorkerAsk`.
+    """Reply to a :class:`WorkerQuery`.
 
     :ivar query_number: number of the query at the node that sent it.
     :ivar dispatcher: incarnation of the dispatcher.
--- a/src/wheelslip/peers/dispatch_server.py
+++ b/src/wheelslip/peers/dispatch_server.py
@@ -5,16 +5,16 @@
 from wheelslip.deployment import CachePlan
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatch_messages import (
-    ASK,
+    CACHED_PROMPTS,
     GRANT,
-    KEPT,
+    PROGRESS,
+    QUERY,
     RUNNING,
-    TELL,
     CachedPromptsReport,
     ProgressReport,
     RunningReport,
-    WorkerAsk,
     WorkerGrant,
+    WorkerQuery,
 )
 from wheelslip.routing.dispatcher import Dispatcher, TicketId
 from wheelslip.routing.overload import Overloaded
@@ -40,12 +40,12 @@
         self._socket = socket
         self._dispatcher = dispatcher
         self._report_limits = report_limits
-        socket.register(ASK, WorkerAsk, self._asked)
-        socket.register(TELL, ProgressReport, self._handle_progress)
+        socket.register(QUERY, WorkerQuery, self._handle_query)
+        socket.register(PROGRESS, ProgressReport, self._handle_progress)
         socket.register(RUNNING, RunningReport, self._handle_running)
-        socket.register(KEPT, CachedPromptsReport, self._handle_cached_prompts)
+        socket.register(CACHED_PROMPTS, CachedPromptsReport, self._handle_cached_prompts)
 
-    def _asked(self, query: WorkerAsk, sender: str) -> None:
+    def _handle_query(self, query: WorkerQuery, sender: str) -> None:
         grant = self._charge(query) if query.charge_only else self._grant(query)
         self._socket.send(sender, GRANT, grant)
         is_refused = grant.worker is None and not grant.retry_seconds
@@ -53,9 +53,9 @@
             # The refusal may be due to worker rate limits that the sender has not received.
             self._report_limits(sender)
 
-    def _grant(self, query: WorkerAsk) -> WorkerGrant:
+    def _grant(self, query: WorkerQuery) -> WorkerGrant:
         try:
-            placement = self._dispatcher.ask(query.ticket_id(), query.query())
+            placement = self._dispatcher.ask(query.ticket_id(), query.placement_query())
         except Overloaded as exc:
             return WorkerGrant(
                 query.query_number, self._incarnation, retry_seconds=exc.retry_seconds
@@ -66,7 +66,7 @@
             return WorkerGrant(query.query_number, self._incarnation)
         return self._grant_placement(query, placement)
 
-    def _grant_placement(self, query: WorkerAsk, placement: Placement) -> WorkerGrant:
+    def _grant_placement(self, query: WorkerQuery, placement: Placement) -> WorkerGrant:
         cache = placement.cache or CachePlan("")
         return WorkerGrant(
             query.query_number,
@@ -79,16 +79,16 @@
             charged=placement.rate_limit_charged,
         )
 
-    def _charge(self, query: WorkerAsk) -> WorkerGrant:
+    def _charge(self, query: WorkerQuery) -> WorkerGrant:
         try:
-            self._dispatcher.count(query.ticket_id(), query.query())
+            self._dispatcher.count(query.ticket_id(), query.placement_query())
         except TenantLimited as exc:
             return self._refuse_tenant(query, exc)
         except NoAuthority:
             return WorkerGrant(query.query_number, self._incarnation)
         return WorkerGrant(query.query_number, self._incarnation, charged=True)
 
-    def _refuse_tenant(self, query: WorkerAsk, exc: TenantLimited) -> WorkerGrant:
+    def _refuse_tenant(self, query: WorkerQuery, exc: TenantLimited) -> WorkerGrant:
         seconds = exc.retry_seconds
         return WorkerGrant(
             query.query_number, self._incarnation, retry_seconds=seconds, tenant_limited=True
--- a/src/wheelslip/peers/dispatcher_health.py
+++ b/src/wheelslip/peers/dispatcher_health.py
@@ -18,7 +18,7 @@
 """Time for which a dispatcher is skipped after a failover."""
 
 
-class NoDispatcher(Exception):
+class DispatcherUnavailable(Exception):
     """Raised when no dispatcher is available or none replies in time."""
 
 
@@ -54,7 +54,7 @@
         """Return the dispatcher to query.
 
         :param addresses: dispatchers in order of preference.
-        :raises NoDispatcher: if the preferred dispatcher is in backoff or none is left.
+        :raises DispatcherUnavailable: if the preferred dispatcher is in backoff or none is left.
         """
         now = self._clock()
         for address in addresses:
@@ -62,16 +62,16 @@
             if peer.skipped_until > now:
                 continue
             if peer.backoff_until > now:
-                raise NoDispatcher
+                raise DispatcherUnavailable
             return address
-        raise NoDispatcher
+        raise DispatcherUnavailable
 
-    def answers(self, address: str) -> bool:
+    def is_responsive(self, address: str) -> bool:
         """Return whether a dispatcher replied to the last query, or was not queried yet."""
         peer = self._peer(address)
         return not peer.timeouts and peer.skipped_until <= self._clock()
 
-    def answered(self, address: str, seconds: float) -> None:
+    def record_reply(self, address: str, seconds: float) -> None:
         """Record a reply.
 
         :param seconds: time since the query was first sent.
@@ -80,7 +80,7 @@
         peer.round_trip.observe(seconds)
         peer.timeouts = 0
 
-    def missed(self, address: str) -> None:
+    def record_timeout(self, address: str) -> None:
         """Record a query without a reply and back off from the dispatcher."""
         now = self._clock()
         peer = self._peer(address)
--- a/src/wheelslip/peers/limit_reports.py
+++ b/src/wheelslip/peers/limit_reports.py
@@ -29,7 +29,7 @@
     reports: list[LimitReport]
 
 
-class LimitReports:
+class LimitReporter:
     """Sends and receives reports of worker rate limits.
 
     :param address: address of this node, ``IP:PORT``.
@@ -71,7 +71,7 @@
         else:
             self._send(self._without_self(self._relays()), direct)
 
-    def announce(self, report: LimitReport) -> None:
+    def report_observation(self, report: LimitReport) -> None:
         """Report an observation from a response to this node."""
         self._send(self._without_self(self._relays()), [report])
         if self._is_relay() and self._limits.rate(report.start) == report.rate:
--- a/src/wheelslip/peers/limit_votes.py
+++ b/src/wheelslip/peers/limit_votes.py
@@ -9,10 +9,10 @@
 
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatch_messages import (
-    RELEASED,
     VOTE,
-    VOTED,
-    VOTES,
+    VOTE_COUNT,
+    VOTE_RELEASE,
+    VOTE_REPLY,
     Vote,
     VoteCountReport,
     VoteRelease,
@@ -60,9 +60,9 @@
         self._excluded_until: dict[str, float] = {}
         self._awaiting_reply: set[str] = set()
         socket.register(VOTE, Vote, self._handle_vote)
-        socket.register(VOTED, VoteReply, self._handle_vote_reply)
-        socket.register(VOTES, VoteCountReport, self._handle_vote_count)
-        socket.register(RELEASED, VoteRelease, self._handle_release)
+        socket.register(VOTE_REPLY, VoteReply, self._handle_vote_reply)
+        socket.register(VOTE_COUNT, VoteCountReport, self._handle_vote_count)
+        socket.register(VOTE_RELEASE, VoteRelease, self._handle_release)
 
     async def run(self) -> None:
         """Vote periodically until cancelled."""
@@ -83,9 +83,9 @@
     def _report_vote_count(self, votes: int) -> None:
         other_meters = [meter for meter in self._meters() if meter != self._address]
         remaining_seconds = self._authority.valid_seconds()
-        self._socket.send_to(other_meters, VOTES, VoteCountReport(votes, remaining_seconds))
+        self._socket.send_to(other_meters, VOTE_COUNT, VoteCountReport(votes, remaining_seconds))
 
-    def counters(self) -> list[str]:
+    def available_meters(self) -> list[str]:
         """Return the other meters that may charge a request if the dispatcher does not reply."""
         now = self._clock()
         meters = [meter for meter in self._meters() if self._excluded_until.get(meter, 0.0) <= now]
@@ -127,12 +127,12 @@
         voters = self._authority.release()
         other_voters = [voter for voter in voters if voter != self._address]
         self._report_vote_count(0)
-        self._socket.send_to(other_voters, RELEASED, VoteRelease(len(voters)))
+        self._socket.send_to(other_voters, VOTE_RELEASE, VoteRelease(len(voters)))
 
     def _handle_vote(self, vote: Vote, sender: str) -> None:
         if not vote.is_probe:
             self._authority.vote(sender)
-        self._socket.send(sender, VOTED, VoteReply(self._authority.fleet))
+        self._socket.send(sender, VOTE_REPLY, VoteReply(self._authority.fleet))
 
     def _handle_vote_reply(self, reply: VoteReply, sender: str) -> None:
         self._awaiting_reply.discard(sender)
--- a/tests/probe/forwarding/test_dispatch.py
+++ b/tests/probe/forwarding/test_dispatch.py
@@ -116,8 +116,8 @@
 
 async def test_caller_disconnect_during_placement_query_releases_grant(site, monkeypatch):
     delayed = []
-    process_query = DispatchServer._asked
-    monkeypatch.setattr(DispatchServer, "_asked", lambda *query: delayed.append(query))
+    process_query = DispatchServer._handle_query
+    monkeypatch.setattr(DispatchServer, "_handle_query", lambda *query: delayed.append(query))
     monkeypatch.setattr(DispatcherHealth, "timeout_seconds", lambda self, address: 30.0)
     await start_fleet(site, workers=1)
     dispatcher = site.nodes["z1"].known_relays()[0]
--- a/tests/unit/forwarding/messages.py
+++ b/tests/unit/forwarding/messages.py
@@ -23,8 +23,8 @@
     VoteCountReport,
     VoteRelease,
     VoteReply,
-    WorkerAsk,
     WorkerGrant,
+    WorkerQuery,
 )
 from wheelslip.peers.limit_reports import LimitReportBatch
 from wheelslip.routing.crash_ledger import Crash
@@ -76,7 +76,7 @@
         for progress in list(Progress)
     ]
     return [
-        Sample("ask", WorkerAsk.of(TicketId("n1", 7), query, charge_only=True)),
+        Sample("ask", WorkerQuery.of(TicketId("n1", 7), query, charge_only=True)),
         Sample("grant", grant),
         *progress_reports,
         Sample("running", RunningReport("n1", [7, 8], [running])),
--- a/tests/unit/forwarding/test_dispatch_messages.py
+++ b/tests/unit/forwarding/test_dispatch_messages.py
@@ -3,15 +3,15 @@
 from wheelslip.deployment import PromptPart
 from wheelslip.peers.datagrams import DatagramSocket
 from wheelslip.peers.dispatch_messages import (
-    ASK,
+    CACHED_PROMPTS,
     ITEMS_PER_DATAGRAM,
-    KEPT,
     MAX_CONNECTED,
     MAX_EXCLUDED,
+    QUERY,
     RUNNING,
     CachedPromptsReport,
     RunningReport,
-    WorkerAsk,
+    WorkerQuery,
 )
 from wheelslip.routing.dispatcher import TicketId
 from wheelslip.routing.fleet_choice import RunningRequest
@@ -25,7 +25,7 @@
 WORKER = "i-0123456789"
 
 
-def worker_query(parts: int = 6) -> WorkerAsk:
+def worker_query(parts: int = 6) -> WorkerQuery:
     query = PlacementQuery(
         "service-name",
         "service-name",
@@ -41,7 +41,7 @@
         frozenset(f"i-{number:010x}" for number in range(2 * MAX_CONNECTED)),
         frozenset({WORKER, "i-1"}),
     )
-    return WorkerAsk.of(TicketId(NODE, 12_345), query)
+    return WorkerQuery.of(TicketId(NODE, 12_345), query)
 
 
 def test_each_message_fits_in_a_packet():
@@ -49,10 +49,10 @@
     query_numbers = list(range(10_000, 10_040))
     excluded = [f"{WORKER}/{1_764_700_000_000 + number}" for number in range(MAX_EXCLUDED)]
     frames = [
-        (ASK, worker_query()),
-        (ASK, worker_query()._replace(excluded=excluded, connected=excluded[:MAX_CONNECTED])),
+        (QUERY, worker_query()),
+        (QUERY, worker_query()._replace(excluded=excluded, connected=excluded[:MAX_CONNECTED])),
         (RUNNING, RunningReport(NODE, query_numbers, [running] * ITEMS_PER_DATAGRAM)),
-        (KEPT, CachedPromptsReport([CachedPrompt(WORKER, CHAIN)] * ITEMS_PER_DATAGRAM)),
+        (CACHED_PROMPTS, CachedPromptsReport([CachedPrompt(WORKER, CHAIN)] * ITEMS_PER_DATAGRAM)),
     ]
     assert max(len(encode_frame(frame)) for frame in frames) <= MAX_PACKET_BYTES
 
@@ -60,16 +60,21 @@
 def test_query_is_received_unchanged_and_invalid_datagrams_are_counted():
     received = []
     socket = DatagramSocket()
-    socket.register(ASK, WorkerAsk, lambda message, sender: received.append((message, sender)))
-    socket.datagram_received(encode_frame((ASK, worker_query())), ("10.0.0.1", 7))
-    for garbage in (b"", b"7:garbage,", encode_frame(("other", 1)), encode_frame((ASK, {"a": 1}))):
+    socket.register(QUERY, WorkerQuery, lambda message, sender: received.append((message, sender)))
+    socket.datagram_received(encode_frame((QUERY, worker_query())), ("10.0.0.1", 7))
+    for garbage in (
+        b"",
+        b"7:garbage,",
+        encode_frame(("other", 1)),
+        encode_frame((QUERY, {"a": 1})),
+    ):
         socket.datagram_received(garbage, ("10.0.0.1", 7))
     [(message, sender)] = received
     assert sender == "10.0.0.1:7" and socket.refused == 4
     assert message.ticket_id() == TicketId(NODE, 12_345)
-    assert WorkerAsk.of(message.ticket_id(), message.query()) == message
+    assert WorkerQuery.of(message.ticket_id(), message.placement_query()) == message
 
 
 def test_number_of_excluded_workers_in_a_query_is_bounded():
     query = PlacementQuery("s", excluded=frozenset(f"i-{number}" for number in range(100)))
-    assert len(WorkerAsk.of(TicketId(NODE, 1), query).excluded) == MAX_EXCLUDED
+    assert len(WorkerQuery.of(TicketId(NODE, 1), query).excluded) == MAX_EXCLUDED
--- a/tests/unit/forwarding/test_recorded_messages.py
+++ b/tests/unit/forwarding/test_recorded_messages.py
@@ -13,7 +13,7 @@
 from wheelslip.forwarding.crash_reports import CrashReport
 from wheelslip.forwarding.rollout_record import RolloutRecord
 from wheelslip.peers.datagrams import DatagramSocket
-from wheelslip.peers.dispatch_messages import TELL, ProgressReport, WorkerGrant
+from wheelslip.peers.dispatch_messages import PROGRESS, ProgressReport, WorkerGrant
 from wheelslip.wire import encode_frame
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
@@ -47,8 +47,10 @@
 def test_message_with_invalid_content_is_counted_and_ignored(content):
     received = []
     socket = DatagramSocket()
-    socket.register(TELL, ProgressReport, lambda message, sender: received.append(message))
-    socket.datagram_received(encode_frame((TELL, msgspec.Raw(content.encode()))), ("127.0.0.1", 1))
+    socket.register(PROGRESS, ProgressReport, lambda message, sender: received.append(message))
+    socket.datagram_received(
+        encode_frame((PROGRESS, msgspec.Raw(content.encode()))), ("127.0.0.1", 1)
+    )
     assert (received, socket.refused) == ([], 1)
 
 
--- a/tests/unit/forwarding/test_tenant_limits.py
+++ b/tests/unit/forwarding/test_tenant_limits.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from wheelslip.deployment import TenantLimit
-from wheelslip.peers.dispatch_link import MOST_COUNTERS
-from wheelslip.peers.dispatch_messages import RELEASED, VOTE, VOTED, VOTES
-from wheelslip.peers.dispatcher_health import DispatcherHealth, NoDispatcher
+from wheelslip.peers.dispatch_link import MAX_METERS_QUERIED
+from wheelslip.peers.dispatch_messages import VOTE, VOTE_COUNT, VOTE_RELEASE, VOTE_REPLY
+from wheelslip.peers.dispatcher_health import DispatcherHealth, DispatcherUnavailable
 from wheelslip.peers.limit_votes import TICK_SECONDS, LimitVotes
 from wheelslip.routing.limit_authority import (
     UNKNOWN_FLEET,
@@ -60,7 +60,7 @@
         self.receivers[kind] = handle
 
     def send(self, address, kind, message) -> None:
-        assert kind in (VOTE, VOTED, VOTES, RELEASED)
+        assert kind in (VOTE, VOTE_REPLY, VOTE_COUNT, VOTE_RELEASE)
         receiver = self.world.nodes[int(address)]
         if self.world.passes(self.number, receiver.number):
             receiver.socket.receivers[kind](message, str(self.number))
@@ -86,7 +86,7 @@
             self.authority,
             self.limits,
             world.relays,
-            self.health.answers,
+            self.health.is_responsive,
             lambda: True,
             clock,
         )
@@ -166,7 +166,7 @@
             return False
         node = self.nodes[number]
         may_run = self._dispatched(node, units)
-        for meter in node.votes.counters()[:MOST_COUNTERS] if may_run is None else []:
+        for meter in node.votes.available_meters()[:MAX_METERS_QUERIED] if may_run is None else []:
             may_run = self._count(node, meter, units)
             if may_run is not None:
                 break
@@ -180,7 +180,7 @@
         """Return whether the dispatcher lets a request run, ``None`` when none answers."""
         try:
             return self._count(node, node.health.choose(self.relays()), units)
-        except NoDispatcher:
+        except DispatcherUnavailable:
             return None
 
     def _count(self, node: Node, meter: str, units: float) -> bool | None:
@@ -190,9 +190,9 @@
             return node.take(units)
         allowed = other.take(units) if self.passes(node.number, other.number) else None
         if allowed is None or not self.passes(other.number, node.number):
-            node.health.missed(meter)
+            node.health.record_timeout(meter)
             return None
-        node.health.answered(meter, 0.001)
+        node.health.record_reply(meter, 0.001)
         return allowed
 
     def most_in_a_window(self) -> float:
--- a/tests/unit/forwarding/test_worker_allowance.py
+++ b/tests/unit/forwarding/test_worker_allowance.py
@@ -9,7 +9,7 @@
 
 from tests.unit.forwarding.test_tenant_limits import EVENT, NODES, World, strike
 from wheelslip.deployment import Incarnation
-from wheelslip.peers.dispatcher_health import NoDispatcher
+from wheelslip.peers.dispatcher_health import DispatcherUnavailable
 from wheelslip.peers.limit_votes import TICK_SECONDS
 from wheelslip.routing.limit_authority import VOTE_SECONDS, WholeAuthority
 from wheelslip.routing.named_limits import NamedLimits
@@ -59,13 +59,13 @@
         node = self.world.nodes[number]
         try:
             address = node.health.choose(self.world.relays())
-        except NoDispatcher:
+        except DispatcherUnavailable:
             return number
         other = int(address)
         if self.world.passes(number, other) and self.world.passes(other, number):
-            node.health.answered(address, 0.001)
+            node.health.record_reply(address, 0.001)
             return other
-        node.health.missed(address)
+        node.health.record_timeout(address)
         return number
 
     def _take(self, number: int) -> bool:
