--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -56,7 +56,7 @@
 
 UNCHARGED_EXCLUSION_SECONDS = 1.0
 """Time for which rate-limited workers are excluded from queries to a dispatcher that granted one
-without charging its limit: the limits may not have reached it, or its build may not support them."""
+without charging its limit: it may lack the limits, or its build may not support them."""
 
 MAX_CACHED_PROMPTS = 256
 """Maximum number of recorded prompts."""
