--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -16,7 +16,7 @@
     WorkerInfo,
     WorkerState,
 )
-from wheelslip.peers.dispatch_messages import WorkerAsk, WorkerGrant
+from wheelslip.peers.dispatch_messages import WorkerGrant, WorkerQuery
 from wheelslip.routing.dispatcher import Dispatcher, Progress, QueryId
 from wheelslip.routing.fleet_choice import FleetPlacement
 from wheelslip.routing.limit_authority import SingleNodeAuthority
@@ -82,10 +82,10 @@
     source, running, spent = random.Random(2), [], 0.0
     for number in range(REQUESTS):
         query_id = QueryId("0123456789ab", number)
-        frame = encode_frame(("ask", WorkerAsk.of(query_id, _query(number, source))))
+        frame = encode_frame(("ask", WorkerQuery.of(query_id, _query(number, source))))
         began = time.perf_counter()
-        _, ask = decode_frame(frame, tuple[str, WorkerAsk])
-        placement = dispatcher.grant(ask.query_id(), ask.query())
+        _, ask = decode_frame(frame, tuple[str, WorkerQuery])
+        placement = dispatcher.grant(ask.query_id(), ask.placement_query())
         encode_frame(("grant", WorkerGrant(number, "0123456789ab", placement.worker.info.id)))
         dispatcher.record_progress(query_id, Progress.FIRST_TOKEN)
         if len(running) == RUNNING:
--- a/src/wheelslip/forwarding/limit_meter.py
+++ b/src/wheelslip/forwarding/limit_meter.py
@@ -65,7 +65,7 @@
             self.authority,
             self.limits,
             relay.addresses_by_tenure,
-            health.answers,
+            health.is_responsive,
             lambda: bool(self._tenant_limits()) or self._registry.limits.count() > 0,
             self._clock,
         )
@@ -80,7 +80,7 @@
 
     def available_meters(self) -> list[str]:
         """Return the nodes that may charge a request for which no dispatcher is available."""
-        return self.votes.counters() if self.votes is not None else []
+        return self.votes.available_meters() if self.votes is not None else []
 
     def release(self) -> None:
         """Release this node's authority before it stops."""
