--- a/src/wheelslip/keyvalue/__init__.py
+++ b/src/wheelslip/keyvalue/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service: compare-and-swap, leases, watches."""
+"""Client and data types of the key-value service: transactions, leases and watches."""
--- a/src/wheelslip/keyvalue/claims.py
+++ b/src/wheelslip/keyvalue/claims.py
@@ -1,9 +1,10 @@
-"""Claims: which single attempt may run a request that must not be repeated.
+"""Claims, which ensure that at most one attempt of a non-idempotent request runs.
 
-A claim is created by compare-and-swap before anything is sent, and names the attempt, the
-engine and its incarnation. A lost answer is resolved by repeating the same swap and
-reading the attempt id back. Swaps of a node that come while one request to the service is
-under way go together in the next one, so the service sees few requests in a burst.
+A claim is created by compare-and-swap before the request is sent to an engine. It names the
+attempt, the engine and the engine's incarnation. When the response to a swap is lost, the swap is
+repeated, and the attempt id in the stored claim shows whether the first one took effect. Swaps
+that are submitted while a call to the key-value service is in progress are sent together in the
+next call.
 """
 
 import hashlib
@@ -28,17 +29,17 @@
 
 CLAIM_PREFIX = "/wheelslip/claims/"
 CLAIM_LEASE_SECONDS = 86_400
-"""Claims are kept for a day after their lease was granted, at the least."""
+"""Lifetime of a lease, which is shared by all claims written until the lease is replaced."""
 
-LEASE_RENEWAL_SECONDS = 3_600
-MAX_KEPT_ANSWER_BYTES = 65_536
+LEASE_REPLACEMENT_INTERVAL_SECONDS = 3_600
+MAX_STORED_RESPONSE_BYTES = 65_536
 _MAX_BATCH = 64
 _RETRY_SECONDS = 0.1
 _COMPLETION_RETRY_SECONDS = 1.0
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
-    """A completed answer, kept for repeats of its key."""
+    """A completed response, stored to be returned for later requests with the same key."""
 
     text: str
     finish_reason: str
@@ -50,8 +51,9 @@
 class ClaimRecord(msgspec.Struct, frozen=True):
     """Value of a claim key.
 
-    :param request_digest: of the request body; another body under the same key is refused.
-    :param answer: present once complete, unless it was too large to keep.
+    :ivar request_digest: digest of the request body; a request with the same key and another body
+        is rejected.
+    :ivar answer: response of the completed attempt; ``None`` if it was too large to store.
     """
 
     request_digest: str
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True)
 class HeldClaim:
-    """A claim as stored, with the revision that the next swap must expect."""
+    """A claim and the revision of its key, which the next swap must expect."""
 
     key: str
     record: ClaimRecord
@@ -72,24 +74,27 @@
 
 @dataclass(frozen=True)
 class ClaimOutcome:
-    """Result of trying to claim: ours, or another attempt's."""
+    """Result of an attempt to create or take over a claim.
+
+    :ivar owned: whether the stored claim names the attempt of this call.
+    """
 
     owned: bool
     claim: HeldClaim
 
 
 class ClaimStoreUnavailable(Exception):
-    """The key-value service took no claim in time; nothing was sent to an engine."""
+    """Raised when the key-value service cannot read or write a claim in time."""
 
 
 def claim_key(tenant: str, idempotency_key: str) -> str:
-    """Return the key of a claim; the caller's key is hashed to bound its length."""
+    """Return the key of a claim, with the idempotency key hashed to limit its length."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     return f"{CLAIM_PREFIX}{tenant}/{digest}"
 
 
 @dataclass
-class _Pending:
+class _PendingTransaction:
     transaction: Transaction
     reply: "queue.SimpleQueue[TransactionResult | KeyValueError]" = field(
         default_factory=queue.SimpleQueue
@@ -103,14 +108,14 @@
 
 
 class ClaimStore:
-    """Creates, takes over and completes claims; one task batches them to the service."""
+    """Creates, takes over and completes claims; a background thread sends them in batches."""
 
     def __init__(self, client: KeyValueClient):
         self._client = client
-        self._pending: queue.SimpleQueue[_Pending] = queue.SimpleQueue()
+        self._pending: queue.SimpleQueue[_PendingTransaction] = queue.SimpleQueue()
         self._completions: queue.Queue[_Completion] = queue.Queue()
         self._lease = 0
-        self._lease_renew_at = 0.0
+        self._replace_lease_at = 0.0
         self._stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._batch_loop, name="claims", daemon=True),
@@ -118,35 +123,40 @@
         ]
 
     def start(self) -> None:
-        """Begin to serve claims."""
+        """Start the background threads."""
         for thread in self._threads:
             thread.start()
 
-    def stop(self, give_up_at: float) -> int:
-        """Write the completions still open; return how many remain at the deadline."""
-        while self._completions.unfinished_tasks and time.monotonic() < give_up_at:
+    def stop(self, deadline: float) -> int:
+        """Write the pending completions and stop the background threads.
+
+        :param deadline: time on the monotonic clock at which to stop waiting.
+        :return: number of completions not written by the deadline.
+        """
+        while self._completions.unfinished_tasks and time.monotonic() < deadline:
             time.sleep(_RETRY_SECONDS)
         self._stopping.set()
         return self._completions.unfinished_tasks
 
     def read(self, key: str) -> HeldClaim | None:
-        """Return a claim as stored.
+        """Return the stored claim, ``None`` if there is none.
 
-        :raises ClaimStoreUnavailable: when the service does not answer.
+        :raises ClaimStoreUnavailable: if the key-value service does not respond.
         """
         try:
             entry = self._client.get(key)
         except KeyValueError as error:
             raise ClaimStoreUnavailable(str(error)) from error
-        return None if entry is None else _held_claim(key, entry.value, entry.mod_revision)
+        return None if entry is None else _decode_claim(key, entry.value, entry.mod_revision)
 
     def claim(
-        self, key: str, record: ClaimRecord, expected_revision: int, give_up_at: float
+        self, key: str, record: ClaimRecord, expected_revision: int, deadline: float
     ) -> ClaimOutcome:
-        """Create a claim (``expected_revision`` 0) or take it over at its revision.
+        """Create a claim, or take over the one stored at the expected revision.
 
-        :param give_up_at: on the monotonic clock.
-        :raises ClaimStoreUnavailable: when the service took no claim in time.
+        :param expected_revision: revision of the claim to take over; 0 to create one.
+        :param deadline: time on the monotonic clock after which a failed swap is not repeated.
+        :raises ClaimStoreUnavailable: if the swap still fails at the deadline.
         """
         value = msgspec.json.encode(record)
         while True:
@@ -155,9 +165,9 @@
                 transaction = Transaction({key: expected_revision}, (put,), (key,))
                 result = self._transact(transaction)
             except KeyValueError as error:
-                # Repeating the same swap is safe: it expects the same revision, and if the
-                # lost one took effect the conflict shows this attempt id.
-                if time.monotonic() >= give_up_at:
+                # The same swap can be repeated safely: if the first one took effect, the second
+                # fails and returns a claim with this attempt id.
+                if time.monotonic() >= deadline:
                     raise ClaimStoreUnavailable(str(error)) from error
                 time.sleep(_RETRY_SECONDS)
                 continue
@@ -165,19 +175,19 @@
                 return ClaimOutcome(True, HeldClaim(key, record, result.revision))
             if result.conflicting:
                 entry = result.conflicting[0]
-                held = _held_claim(key, entry.value, entry.mod_revision)
+                held = _decode_claim(key, entry.value, entry.mod_revision)
                 return ClaimOutcome(held.record.attempt_id == record.attempt_id, held)
-            # The claim we meant to take over is gone: its lease ended. Begin afresh.
+            # The lease of the claim to take over has expired; create a new claim.
             expected_revision = 0
 
-    def complete(self, claim: HeldClaim, answer: KeptAnswer) -> None:
-        """Keep the answer of a finished attempt; written in the background until it holds."""
-        kept = answer if len(answer.text.encode()) <= MAX_KEPT_ANSWER_BYTES else None
-        record = msgspec.structs.replace(claim.record, completed=True, answer=kept)
+    def complete(self, claim: HeldClaim, response: KeptAnswer) -> None:
+        """Store the response of a finished attempt in the background, retrying failed writes."""
+        stored = response if len(response.text.encode()) <= MAX_STORED_RESPONSE_BYTES else None
+        record = msgspec.structs.replace(claim.record, completed=True, answer=stored)
         self._completions.put(_Completion(claim, record))
 
     def _transact(self, transaction: Transaction) -> TransactionResult:
-        pending = _Pending(transaction)
+        pending = _PendingTransaction(transaction)
         self._pending.put(pending)
         result = pending.reply.get()
         if isinstance(result, KeyValueError):
@@ -185,12 +195,12 @@
         return result
 
     def _current_lease(self) -> int:
-        if time.monotonic() >= self._lease_renew_at:
+        if time.monotonic() >= self._replace_lease_at:
             try:
                 self._lease = self._client.grant_lease(CLAIM_LEASE_SECONDS)
             except KeyValueOutcomeUnknown as error:
-                raise KeyValueUnavailable(f"no lease for claims: {error}") from error
-            self._lease_renew_at = time.monotonic() + LEASE_RENEWAL_SECONDS
+                raise KeyValueUnavailable(f"cannot grant a lease for claims: {error}") from error
+            self._replace_lease_at = time.monotonic() + LEASE_REPLACEMENT_INTERVAL_SECONDS
         return self._lease
 
     def _batch_loop(self) -> None:
@@ -203,9 +213,9 @@
                 batch.append(self._pending.get_nowait())
             self._send_batch(batch)
 
-    def _send_batch(self, batch: list[_Pending]) -> None:
+    def _send_batch(self, batch: list[_PendingTransaction]) -> None:
         try:
-            results = self._client.transact_batch([one.transaction for one in batch])
+            results = self._client.transact_batch([pending.transaction for pending in batch])
         except KeyValueError as error:
             results = [error] * len(batch)
         for pending, result in zip(batch, results, strict=True):
@@ -225,7 +235,7 @@
         value = msgspec.json.encode(completion.record)
         try:
             put = Put(claim.key, value, self._current_lease())
-            # A conflict means that another node completed the same attempt: nothing to do.
+            # A conflict is ignored: another node has updated the claim, or it has expired.
             self._transact(Transaction({claim.key: claim.mod_revision}, (put,)))
         except KeyValueError as error:
             log_event(LogEvent.CLAIM_COMPLETION_DEFERRED, key=claim.key, reason=str(error))
@@ -233,5 +243,5 @@
             self._completions.put(completion)
 
 
-def _held_claim(key: str, value: bytes, mod_revision: int) -> HeldClaim:
+def _decode_claim(key: str, value: bytes, mod_revision: int) -> HeldClaim:
     return HeldClaim(key, msgspec.json.decode(value, type=ClaimRecord), mod_revision)
--- a/src/wheelslip/keyvalue/client.py
+++ b/src/wheelslip/keyvalue/client.py
@@ -1,8 +1,8 @@
 """Client of the etcd v3 JSON gateway.
 
-Outcomes are kept apart: :class:`KeyValueUnavailable` means that the request surely had no
-effect, :class:`KeyValueOutcomeUnknown` that it was sent and its answer was lost. Callers
-resolve the second by reading back an id that they wrote.
+A failed call raises :class:`KeyValueUnavailable` if it certainly had no effect, and
+:class:`KeyValueOutcomeUnknown` if it was sent but its response was lost. In the second case callers
+find out whether it took effect by reading the key back.
 """
 
 import base64
@@ -27,7 +27,7 @@
 _RANGE_PATH = "/v3/kv/range"
 _TRANSACT_PATH = "/v3/kv/txn"
 _WATCH_PATH = "/v3/watch"
-_RATE_LIMITED = 429
+_STATUS_RATE_LIMITED = 429
 
 
 def _encode(data: str | bytes) -> str:
@@ -49,7 +49,11 @@
 
 
 class KeyValueClient:
-    """Talks to one key-value service; safe to use from several threads."""
+    """Thread-safe client of one key-value service.
+
+    :param address: ``HOST:PORT`` of the service.
+    :param timeout_seconds: timeout of connecting and of each read.
+    """
 
     def __init__(self, address: str, timeout_seconds: float):
         self._base = f"http://{address}"
@@ -57,63 +61,67 @@
         self._pool = urllib3.PoolManager(maxsize=8, retries=False)
 
     def get(self, key: str) -> KeyValue | None:
-        """Return one key, or ``None`` when it is absent.
+        """Return one key, ``None`` if it is absent.
 
-        :raises KeyValueUnavailable: when the service does not answer.
+        :raises KeyValueUnavailable: if the service does not respond.
         """
         entries = self._range({"key": _encode(key)}).entries
         return entries[0] if entries else None
 
     def list_prefix(self, prefix: str) -> RangeResult:
-        """Return all keys that start with ``prefix``.
+        """Return all keys that start with a prefix.
 
-        :raises KeyValueUnavailable: when the service does not answer.
+        :raises KeyValueUnavailable: if the service does not respond.
         """
         return self._range({"key": _encode(prefix), "range_end": _encode(_prefix_end(prefix))})
 
     def transact(self, transaction: Transaction) -> TransactionResult:
         """Run one compare-and-swap.
 
-        :raises KeyValueUnavailable: when it surely had no effect.
-        :raises KeyValueOutcomeUnknown: when its answer was lost.
+        :raises KeyValueUnavailable: if it certainly had no effect.
+        :raises KeyValueOutcomeUnknown: if its response was lost.
         """
-        answer = self._post(_TRANSACT_PATH, _transaction_document(transaction))
-        return _transaction_result(answer, int(answer["header"]["revision"]))
+        response = self._post(_TRANSACT_PATH, _transaction_document(transaction))
+        return _transaction_result(response, int(response["header"]["revision"]))
 
     def transact_batch(self, transactions: list[Transaction]) -> list[TransactionResult]:
-        """Run independent compare-and-swaps in one request, each with its own outcome.
+        """Run independent compare-and-swaps in one call and return the result of each.
 
-        :raises KeyValueUnavailable: when none had an effect.
-        :raises KeyValueOutcomeUnknown: when the answer was lost.
+        :raises KeyValueUnavailable: if none of them had an effect.
+        :raises KeyValueOutcomeUnknown: if the response was lost.
         """
-        operations = [{"request_txn": _transaction_document(one)} for one in transactions]
-        answer = self._post(_TRANSACT_PATH, {"compare": [], "success": operations})
-        revision = int(answer["header"]["revision"])
+        operations = [
+            {"request_txn": _transaction_document(transaction)} for transaction in transactions
+        ]
+        response = self._post(_TRANSACT_PATH, {"compare": [], "success": operations})
+        revision = int(response["header"]["revision"])
         return [
-            _transaction_result(response["response_txn"], revision)
-            for response in answer["responses"]
+            _transaction_result(result["response_txn"], revision)
+            for result in response["responses"]
         ]
 
     def grant_lease(self, seconds: int) -> int:
         """Grant a lease and return its id.
 
-        :raises KeyValueError: when the service does not answer.
+        :raises KeyValueError: if the service does not respond.
         """
         return int(self._post("/v3/lease/grant", {"TTL": seconds})["ID"])
 
     def keep_lease(self, lease: int) -> bool:
-        """Extend a lease; return ``False`` when it had lapsed.
+        """Renew a lease.
 
-        :raises KeyValueError: when the service does not answer.
+        :return: ``False`` if the lease has expired.
+        :raises KeyValueError: if the service does not respond.
         """
-        answer = self._post("/v3/lease/keepalive", {"ID": lease})
-        return int(answer["result"].get("TTL", 0)) > 0
+        response = self._post("/v3/lease/keepalive", {"ID": lease})
+        return int(response["result"].get("TTL", 0)) > 0
 
     def watch(self, prefix: str, start_revision: int) -> Iterator[WatchBatch]:
-        """Yield changes under ``prefix`` from ``start_revision`` on, and idle progress.
+        """Yield the changes under a prefix, and batches without changes that report progress.
 
-        :raises WatchCompacted: when that revision is no longer kept.
-        :raises KeyValueUnavailable: when the stream ends or stalls.
+        :param start_revision: revision of the first change to yield.
+        :raises WatchCompacted: if the history from that revision on has been compacted.
+        :raises KeyValueUnavailable: if the stream ends or no data arrives within the timeout.
         """
         request = {
             "key": _encode(prefix),
@@ -132,28 +140,28 @@
 
     def _range(self, request: dict) -> RangeResult:
         try:
-            answer = self._post(_RANGE_PATH, request)
+            response = self._post(_RANGE_PATH, request)
         except KeyValueOutcomeUnknown as error:
             raise KeyValueUnavailable(str(error)) from error
-        entries = tuple(_key_value(document) for document in answer.get("kvs", []))
-        return RangeResult(int(answer["header"]["revision"]), entries)
+        entries = tuple(_key_value(document) for document in response.get("kvs", []))
+        return RangeResult(int(response["header"]["revision"]), entries)
 
-    def _post(self, path: str, document: dict) -> dict:
-        response = self._send(path, document, stream=False)
+    def _post(self, path: str, request: dict) -> dict:
+        response = self._send(path, request, stream=False)
         try:
-            answer = json.loads(response.data)
+            document = json.loads(response.data)
         except ValueError as error:
-            raise KeyValueOutcomeUnknown(f"{path}: answer is not JSON") from error
-        if not isinstance(answer, dict):
-            raise KeyValueOutcomeUnknown(f"{path}: answer is not a JSON object")
-        return answer
+            raise KeyValueOutcomeUnknown(f"{path}: response is not JSON") from error
+        if not isinstance(document, dict):
+            raise KeyValueOutcomeUnknown(f"{path}: response is not a JSON object")
+        return document
 
-    def _send(self, path: str, document: dict, stream: bool) -> urllib3.BaseHTTPResponse:
+    def _send(self, path: str, request: dict, stream: bool) -> urllib3.BaseHTTPResponse:
         try:
             response = self._pool.request(
                 "POST",
                 self._base + path,
-                json=document,
+                json=request,
                 timeout=urllib3.Timeout(connect=self._timeout, read=self._timeout),
                 preload_content=not stream,
             )
@@ -164,7 +172,7 @@
             raise KeyValueUnavailable(f"{path}: {error}") from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise KeyValueOutcomeUnknown(f"{path}: {error}") from error
-        if response.status == _RATE_LIMITED:
+        if response.status == _STATUS_RATE_LIMITED:
             raise KeyValueUnavailable(f"{path}: rate limited")
         if response.status != 200:
             raise KeyValueOutcomeUnknown(f"{path}: status {response.status}")
@@ -191,15 +199,15 @@
     return {"request_put": put}
 
 
-def _transaction_result(answer: dict, revision: int) -> TransactionResult:
-    if answer.get("succeeded"):
+def _transaction_result(result: dict, revision: int) -> TransactionResult:
+    if result.get("succeeded"):
         return TransactionResult(True, revision)
-    found = [
+    conflicting = [
         _key_value(document)
-        for response in answer.get("responses", [])
+        for response in result.get("responses", [])
         for document in response.get("response_range", {}).get("kvs", [])
     ]
-    return TransactionResult(False, revision, tuple(found))
+    return TransactionResult(False, revision, tuple(conflicting))
 
 
 def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
@@ -214,7 +222,7 @@
 
 def _watch_batch(result: dict) -> WatchBatch:
     if result.get("canceled"):
-        raise WatchCompacted(f"compacted at {result.get('compact_revision')}")
+        raise WatchCompacted(f"history compacted at revision {result.get('compact_revision')}")
     changes = []
     for event in result.get("events", []):
         entry = _key_value(event["kv"])
--- a/src/wheelslip/keyvalue/lease.py
+++ b/src/wheelslip/keyvalue/lease.py
@@ -1,4 +1,4 @@
-"""A lease on a duty, whose key's creation revision is the fencing token."""
+"""Lease that lets one node at a time perform a duty, such as ordering the workers of a pool."""
 
 import time
 
@@ -9,15 +9,20 @@
 
 
 class LeaseNotHeld(Exception):
-    """The lease is another node's, lapsed, or cannot be proven held."""
+    """Raised when another node holds the lease, or it has expired or cannot be confirmed."""
 
 
 class DutyLease:
-    """Holds one duty's lease while it is asked for.
+    """Acquires the lease of one duty and renews it for as long as its token is requested.
 
-    The holder believes in its lease only until a deadline counted from *before* the last
-    successful request, so a paused holder stops by itself. Whatever it sent before that
-    carries its token, which a later holder's higher token makes engines refuse.
+    The fencing token is the revision at which the key of the lease was created, so each holder has
+    a higher one than the holder before. Engines reject orders with a lower token than they have
+    seen. The validity is counted from before the call that granted or renewed the lease, so a
+    stalled holder stops using the token before another node can acquire the lease.
+
+    :param duty: name of the duty, part of the key.
+    :param holder: name of this node, stored in the key.
+    :param seconds: duration of the lease without renewal.
     """
 
     def __init__(self, client: KeyValueClient, duty: str, holder: str, seconds: int):
@@ -27,34 +32,34 @@
         self._seconds = seconds
         self._lease = 0
         self._token = 0
-        self._held_until = 0.0
+        self._valid_until = 0.0
 
     def fencing_token(self) -> int:
-        """Return the token of a lease that is held now, acquiring or extending it.
+        """Return the fencing token, after acquiring or renewing the lease if necessary.
 
-        :raises LeaseNotHeld: when this node does not hold it.
+        :raises LeaseNotHeld: if this node does not hold the lease.
         """
-        began = time.monotonic()
+        called_at = time.monotonic()
         try:
-            if self._token and began < self._held_until:
-                self._extend(began)
+            if self._token and called_at < self._valid_until:
+                self._renew(called_at)
             else:
-                self._acquire(began)
+                self._acquire(called_at)
         except KeyValueError as error:
-            if time.monotonic() >= self._held_until:
+            if time.monotonic() >= self._valid_until:
                 self._token = 0
                 raise LeaseNotHeld(f"{self._key}: {error}") from error
         return self._token
 
-    def _extend(self, began: float) -> None:
-        if self._held_until - began > self._seconds / 2:
+    def _renew(self, called_at: float) -> None:
+        if self._valid_until - called_at > self._seconds / 2:
             return
         if not self._client.keep_lease(self._lease):
             self._token = 0
-            raise LeaseNotHeld(f"{self._key}: lapsed")
-        self._held_until = began + self._seconds
+            raise LeaseNotHeld(f"{self._key}: expired")
+        self._valid_until = called_at + self._seconds
 
-    def _acquire(self, began: float) -> None:
+    def _acquire(self, called_at: float) -> None:
         self._token = 0
         lease = self._client.grant_lease(self._seconds)
         put = Put(self._key, self._holder.encode(), lease)
@@ -62,4 +67,4 @@
         if not result.succeeded:
             raise LeaseNotHeld(f"{self._key}: held by another node")
         self._lease, self._token = lease, result.revision
-        self._held_until = began + self._seconds
+        self._valid_until = called_at + self._seconds
--- a/src/wheelslip/keyvalue/model.py
+++ b/src/wheelslip/keyvalue/model.py
@@ -1,31 +1,31 @@
-"""Types of a key-value service that every dialect of it shares: outcomes, keys, transactions.
+"""Keys, transactions and errors that all clients of key-value services share.
 
-Outcomes are kept apart: :class:`KeyValueUnavailable` means that the request surely had no
-effect, :class:`KeyValueOutcomeUnknown` that it was sent and its answer was lost.
+A failed call raises :class:`KeyValueUnavailable` if it certainly had no effect, and
+:class:`KeyValueOutcomeUnknown` if it was sent but its response was lost.
 """
 
 from dataclasses import dataclass, field
 
 
 class KeyValueError(Exception):
-    """The key-value service did not answer usefully."""
+    """Base class of failed calls to the key-value service."""
 
 
 class KeyValueUnavailable(KeyValueError):
-    """The request had no effect: it was not sent, or it was refused."""
+    """Raised when a call had no effect because it was not sent or was rejected."""
 
 
 class KeyValueOutcomeUnknown(KeyValueError):
-    """The request was sent and its answer was lost; it may have taken effect."""
+    """Raised when the response to a call was lost; the call may have taken effect."""
 
 
 class WatchCompacted(KeyValueError):
-    """The watch asked for revisions that the service has forgotten."""
+    """Raised when a watch starts at a revision whose history is no longer available."""
 
 
 @dataclass(frozen=True)
 class KeyValue:
-    """One stored key with the revision of its last change."""
+    """A stored key, its value and the revision of its last change."""
 
     key: str
     value: bytes
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True)
 class Put:
-    """Write one key, bound to a lease when one is given."""
+    """Write of one key.
+
+    :ivar lease: lease with which the key is removed; 0 for none.
+    """
 
     key: str
     value: bytes
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Delete:
-    """Delete one key."""
+    """Removal of one key."""
 
     key: str
 
@@ -52,9 +55,9 @@
 class Transaction:
     """One compare-and-swap.
 
-    :param expected: key to the mod revision it must have; 0 means absent.
-    :param changes: what to do when all expectations hold.
-    :param read_on_conflict: keys to return when one does not hold.
+    :ivar expected: expected revision of the last change by key; 0 if the key must be absent.
+    :ivar changes: changes that are made if all revisions are as expected.
+    :ivar read_on_conflict: keys that are returned otherwise.
     """
 
     expected: dict[str, int]
@@ -64,7 +67,12 @@
 
 @dataclass(frozen=True)
 class TransactionResult:
-    """Whether the swap took effect, at which revision, and the keys read on conflict."""
+    """Result of a transaction.
+
+    :ivar succeeded: whether the changes were made.
+    :ivar revision: revision of the service after the transaction.
+    :ivar conflicting: the keys that were read because a revision was not as expected.
+    """
 
     succeeded: bool
     revision: int
@@ -73,7 +81,7 @@
 
 @dataclass(frozen=True)
 class RangeResult:
-    """Keys in a range and the service's revision at that moment."""
+    """Keys in a range, and the revision of the service at which they were read."""
 
     revision: int
     entries: tuple[KeyValue, ...]
@@ -81,7 +89,10 @@
 
 @dataclass(frozen=True)
 class WatchBatch:
-    """Changes up to ``revision``; a deleted key has value ``None``."""
+    """Changes up to a revision of the service.
+
+    :ivar changes: key, value and revision of each change; the value of a removed key is ``None``.
+    """
 
     revision: int
     changes: tuple[tuple[str, bytes | None, int], ...] = field(default=())
--- a/src/wheelslip/platform/__init__.py
+++ b/src/wheelslip/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Adapter to the users' platform: names, formats and calls, both ways; it decides nothing.
+"""Adapter to the HTTP interfaces of the platform, described in its PROTOCOL and DEPLOY pages.
 
-Pages and sections are those of the platform's own description (PROTOCOL, DEPLOY).
+The modules translate names, formats and calls between the platform and wheelslip. Routing decisions
+are made elsewhere.
 """
--- a/src/wheelslip/platform/headers.py
+++ b/src/wheelslip/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names of requests and answers (PROTOCOL, "Requests", "Answers", "KV cache")."""
+"""Headers of requests and responses (PROTOCOL, "Requests", "Answers" and "KV cache")."""
 
 import re
 from collections.abc import Iterable
@@ -23,7 +23,7 @@
 KV_SAVE = b"Wheelslip-Kv-Save"
 LAST_EVENT_ID = b"Last-Event-Id"
 AUTHORIZATION = b"Authorization"
-KEY_SCHEME = "token "
+AUTHORIZATION_SCHEME = "token "
 
 _MODEL = b"wheelslip-model-id"
 _TOKENS = b"wheelslip-token-usage"
@@ -36,16 +36,16 @@
 _RETRY_AFTER = b"retry-after"
 _RATE_LIMIT = b"server-limit"
 
-_SECONDS = re.compile(r"\d+(\.\d+)?", re.ASCII)
-"""Seconds, fractions included. Dates, signs, exponents and the like tell no time to come back."""
+_SECONDS_PATTERN = re.compile(r"\d+(\.\d+)?", re.ASCII)
+"""Decimal number of seconds in ``Retry-After``. Dates and other formats are ignored."""
 
-_DECIMAL = re.compile(r"\d+(\.\d+)?|\.\d+", re.ASCII)
-"""A rate. Signs, exponents, units and words are none."""
+_RATE_PATTERN = re.compile(r"\d+(\.\d+)?|\.\d+", re.ASCII)
+"""Rate in requests per second, without sign, exponent or unit."""
 
-SHOWN_CHARACTERS = 40
-"""So much of a value that cannot be read goes into the log."""
+MAX_LOGGED_CHARACTERS = 40
+"""Length to which an invalid header value is truncated for the log."""
 
-_OWNED_BY_SYSTEM = frozenset(
+_SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
         DEADLINE,
@@ -64,9 +64,9 @@
         b"Kv-From",
     )
 )
-"""Set by the system or not at all; what a caller sends there goes no further."""
+"""Headers that only the system sets; they are removed from callers' requests."""
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -82,39 +82,39 @@
 
 
 class PlatformHeaders:
-    """The dialect of requests and answers (PROTOCOL, "Requests", "Answers", "KV cache")."""
+    """Decoder and encoder of the headers of requests and responses."""
 
     def decode_request(self, headers: Headers) -> RequestMetadata:
-        """Read a caller's headers (PROTOCOL, "Requests").
+        """Decode the headers of a caller's request.
 
-        :raises ValueError: naming the header that cannot be used.
+        :raises ValueError: if a header is invalid; the message names the header.
         """
         values = {name.lower(): value.decode("latin-1") for name, value in headers}
-        prompt_tokens, output_tokens = _token_usage(values.get(_TOKENS, ""))
+        prompt_tokens, output_tokens = _decode_token_usage(values.get(_TOKENS, ""))
         deadline = values.get(DEADLINE.lower())
         last_event = values.get(LAST_EVENT_ID.lower())
         authorization = values.get(AUTHORIZATION.lower(), "")
-        has_key = authorization.lower().startswith(KEY_SCHEME)
+        has_key = authorization.lower().startswith(AUTHORIZATION_SCHEME)
         return RequestMetadata(
             request_id=values.get(REQUEST_ID.lower(), ""),
-            deadline_seconds=_number(DEADLINE, deadline) / 1000 if deadline else None,
-            api_key=authorization[len(KEY_SCHEME) :].strip() if has_key else None,
+            deadline_seconds=_decode_integer(DEADLINE, deadline) / 1000 if deadline else None,
+            api_key=authorization[len(AUTHORIZATION_SCHEME) :].strip() if has_key else None,
             model=values.get(_MODEL, ""),
             prompt_tokens=prompt_tokens,
             output_tokens=output_tokens,
-            prompt=_prompt(values.get(_PREFIX, "")),
-            last_event_id=_event_id(last_event),
+            prompt=_decode_prompt(values.get(_PREFIX, "")),
+            last_event_id=_decode_event_id(last_event),
         )
 
     def worker_headers(self, request: ForwardedRequest, dispatch: Dispatch) -> Headers:
-        """Return the headers for a worker (PROTOCOL, "Workers")."""
-        named = _connection_names(request.headers)
+        """Return the headers of a request to a worker, without those that frame its body."""
+        connection_names = _connection_names(request.headers)
         headers = [
             (name, value)
             for name, value in request.headers
-            if name.lower() not in _OWNED_BY_SYSTEM
-            and name.lower() not in _HOP_BY_HOP
-            and name.lower() not in named
+            if name.lower() not in _SYSTEM_HEADERS
+            and name.lower() not in _HOP_BY_HOP_HEADERS
+            and name.lower() not in connection_names
         ]
         headers.append((DEADLINE, b"%d" % max(1, int(dispatch.remaining_seconds * 1000))))
         headers.append((EXPECT_INSTANCE, dispatch.worker.worker_id.encode()))
@@ -134,53 +134,55 @@
         return headers
 
     def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> AnswerMetadata:
-        """Read a worker's answer (PROTOCOL, "Answers", "Workers")."""
+        """Decode the headers of a worker's response."""
         values = {name.lower(): value.decode("latin-1") for name, value in headers}
         version = values.get(_VERSIONS, "")
         limit = values.get(_RATE_LIMIT)
-        rate = _rate(limit)
+        rate = _decode_rate(limit)
         return AnswerMetadata(
             request_id=values.get(REQUEST_ID.lower()),
             signed=_SIGNATURE in values,
             not_executed=_NOT_EXECUTED in values,
             instance=values.get(_INSTANCE),
             weights_version=int(version) if version.isdigit() else None,
-            keep_alive_seconds=_keep_alive(values.get(b"keep-alive", "")),
+            keep_alive_seconds=_decode_keep_alive(values.get(b"keep-alive", "")),
             closes="close" in values.get(b"connection", "").lower(),
             leaving=values.get(_LEAVING, "").strip() == "1",
-            retry_seconds=_seconds(values.get(_RETRY_AFTER, "")),
+            retry_seconds=_decode_seconds(values.get(_RETRY_AFTER, "")),
             rate_limit=rate,
-            unreadable_limit=limit[:SHOWN_CHARACTERS] if limit and rate is None else "",
+            unreadable_limit=limit[:MAX_LOGGED_CHARACTERS] if limit and rate is None else "",
         )
 
     def own_answer_headers(self, request_id: str | None) -> Headers:
-        """Return what every answer of the system's own carries (PROTOCOL, "Answers")."""
+        """Return the headers of a response that the node generates itself."""
         return [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
 
 
 def _connection_names(headers: Headers) -> frozenset[bytes]:
-    listed = [value for name, value in headers if name.lower() == b"connection"]
-    return frozenset(token.strip().lower() for one in listed for token in one.split(b","))
+    connection_values = [value for name, value in headers if name.lower() == b"connection"]
+    return frozenset(
+        token.strip().lower() for value in connection_values for token in value.split(b",")
+    )
 
 
-def _number(name: bytes, text: str) -> int:
+def _decode_integer(name: bytes, text: str) -> int:
     if not text.isdigit():
         raise ValueError(f"{name.decode()}: {text!r} is not a whole number")
     return int(text)
 
 
-def _event_id(text: str | None) -> int | None:
+def _decode_event_id(text: str | None) -> int | None:
     return int(text) if text is not None and text.isdigit() else None
 
 
-def _token_usage(text: str) -> tuple[int, int]:
+def _decode_token_usage(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
     if not first.strip().isdigit() or not second.strip().isdigit():
         return 0, 0
     return int(first), int(second)
 
 
-def _prompt(text: str) -> tuple[PromptPart, ...]:
+def _decode_prompt(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for part in text.split(","):
         part_id, _, tokens = part.strip().partition(":")
@@ -189,19 +191,19 @@
     return tuple(parts)
 
 
-def _seconds(text: str) -> float | None:
-    """Return a time in seconds, ``None`` for what is none; too many digits for a number are infinite."""
+def _decode_seconds(text: str) -> float | None:
+    """Return a number of seconds, ``None`` if it is invalid and infinity if it exceeds a float."""
     text = text.strip()
-    return float(text) if _SECONDS.fullmatch(text) else None
+    return float(text) if _SECONDS_PATTERN.fullmatch(text) else None
 
 
-def _rate(text: str | None) -> float | None:
-    """Return a rate, ``None`` for what is none; too many digits for a number are infinite."""
+def _decode_rate(text: str | None) -> float | None:
+    """Return a rate, ``None`` if it is absent or invalid and infinity if it exceeds a float."""
     text = (text or "").strip()
-    return float(text) if _DECIMAL.fullmatch(text) else None
+    return float(text) if _RATE_PATTERN.fullmatch(text) else None
 
 
-def _keep_alive(text: str) -> float | None:
+def _decode_keep_alive(text: str) -> float | None:
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/src/wheelslip/platform/main.py
+++ b/src/wheelslip/platform/main.py
@@ -1,4 +1,4 @@
-"""Entry of the process that the platform starts (DEPLOY, "Settings of a process")."""
+"""Entry point of the process that the platform starts (DEPLOY, "Settings of a process")."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 
 
 def main() -> int:
-    """Run one node with the settings file that the platform laid."""
+    """Run one node with the settings file that the environment names and return the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
--- a/src/wheelslip/platform/registry.py
+++ b/src/wheelslip/platform/registry.py
@@ -1,5 +1,4 @@
-"""Keys and documents of the platform's store (PROTOCOL, "Service discovery", "The operator's
-API") and their translation to the product's records."""
+"""Decoder of the store's documents (PROTOCOL, "Service discovery" and "The operator's API")."""
 
 import re
 from typing import Annotated, Literal
@@ -30,9 +29,9 @@
 WORKER_PREFIX = "servers/"
 
 _TOKENS_UNIT = "tokenize"
-"""Value of ``token_unit`` by which a tenant's limit counts tokens; requests without it."""
+"""Value of ``token_unit`` if a tenant's limit counts tokens; otherwise it counts requests."""
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -40,13 +39,13 @@
 
 
 MAX_REASON_CHARACTERS = 160
-"""Longest reason told of a document that cannot be read: it may quote what another writer wrote."""
+"""Length to which the reason for rejecting a document is truncated; it may quote the document."""
 
-_MISSING_FIELD = re.compile(r"missing required field `([^`]+)`")
-_FIELD_PATH = re.compile(r"at `\$\.([^`]+)`")
+_MISSING_FIELD_PATTERN = re.compile(r"missing required field `([^`]+)`")
+_FIELD_PATH_PATTERN = re.compile(r"at `\$\.([^`]+)`")
 
-_WORKER_ID = re.compile(r"[!-.0-~]+")
-"""Ids go into a header; a slash would be another writer's key below a worker's."""
+_WORKER_ID_PATTERN = re.compile(r"[!-.0-~]+")
+"""Ids are sent in a header. A key with a further slash is not the key of a worker."""
 
 
 class _Part(msgspec.Struct):
@@ -89,7 +88,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    # rate_per_s and burst_size are in tokens where token_unit says so, whatever their names tell.
+    # The unit of rate_per_s and burst_size is tokens if token_unit is _TOKENS_UNIT.
     name: str
     api_keys: list[str] = []
     priority: int | None = None
@@ -121,7 +120,7 @@
 
 
 class _Worker(msgspec.Struct):
-    # What a worker always tells is required, used here or not: an entry without it is another's.
+    # Workers always write the required fields; a document without them is not a worker's entry.
     service: str
     address: str
     zone: str
@@ -140,19 +139,19 @@
 
 
 class PlatformRegistry:
-    """The dialect of the store's keys and documents (PROTOCOL, "Service discovery")."""
+    """Decoder of the keys and documents in the store."""
 
     def worker_id(self, key: str) -> str | None:
-        """Return the worker that a key stands for (`servers/ID`)."""
+        """Return the worker id in a key (`servers/ID`), ``None`` for the keys of others."""
         if not key.startswith(WORKER_PREFIX):
             return None
         worker_id = key.removeprefix(WORKER_PREFIX)
-        return worker_id if _WORKER_ID.fullmatch(worker_id) else None
+        return worker_id if _WORKER_ID_PATTERN.fullmatch(worker_id) else None
 
     def decode(
         self, key: str, value: bytes
     ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
-        """Return the typed content of one key (`op/config`, `op/version/MODEL`, `servers/ID`)."""
+        """Return the record of one key (`op/config`, `op/version/MODEL`, `servers/ID`)."""
         try:
             if key == CONFIGURATION_KEY:
                 return _configuration(msgspec.json.decode(value, type=_Configuration))
@@ -160,30 +159,30 @@
                 named = msgspec.json.decode(value, type=_NamedVersion)
                 return NamedWeights(named.model_id, named.version)
             if key.startswith(WORKER_PREFIX):
-                return self._worker(key, value)
+                return self._decode_worker(key, value)
         except (ValueError, KeyError, RecursionError) as error:
-            return _unusable(key, str(error))
+            return _unusable_entry(key, str(error))
         return None
 
-    def _worker(self, key: str, value: bytes) -> WorkerInfo | UnusableEntry:
+    def _decode_worker(self, key: str, value: bytes) -> WorkerInfo | UnusableEntry:
         worker_id = self.worker_id(key)
         if worker_id is None:
-            return _unusable(key, "no id of a worker")
+            return _unusable_entry(key, "key without a valid worker id")
         document = msgspec.json.decode(value, type=_Worker)
         try:
             Address.parse(document.address)
         except ValueError as error:
             return UnusableEntry(key, "address", str(error)[:MAX_REASON_CHARACTERS])
-        return _worker(worker_id, document)
+        return _worker_info(worker_id, document)
 
 
-def _unusable(key: str, reason: str) -> UnusableEntry:
-    """Return what cannot be read, with the field that a decoder's message names."""
-    found = _MISSING_FIELD.search(reason) or _FIELD_PATH.search(reason)
-    return UnusableEntry(key, found[1] if found else "", reason[:MAX_REASON_CHARACTERS])
+def _unusable_entry(key: str, reason: str) -> UnusableEntry:
+    """Return the record of a document that cannot be decoded, with the field that is invalid."""
+    match = _MISSING_FIELD_PATTERN.search(reason) or _FIELD_PATH_PATTERN.search(reason)
+    return UnusableEntry(key, match[1] if match else "", reason[:MAX_REASON_CHARACTERS])
 
 
-def _worker(worker_id: str, document: _Worker) -> WorkerInfo:
+def _worker_info(worker_id: str, document: _Worker) -> WorkerInfo:
     return WorkerInfo(
         id=incarnation_of(worker_id, document.born),
         service=document.service,
@@ -191,31 +190,37 @@
         zone=document.zone,
         state=WorkerState(document.state),
         capacity=document.capacity,
-        weights={one.name: one.version for one in document.model_ids},
+        weights={model.name: model.version for model in document.model_ids},
         born=document.born,
     )
 
 
 def _configuration(document: _Configuration) -> RoutingConfiguration:
     by_host: dict[str, list[Route]] = {}
-    for one in document.routes:
-        by_host.setdefault(one.host.lower(), []).append(_route(one))
+    for route in document.routes:
+        by_host.setdefault(route.host.lower(), []).append(_route(route))
     for routes in by_host.values():
         routes.sort(key=lambda route: -len(route.path_prefix))
-    limits = {one.name: _tenant_limit(one) for one in document.tenants if one.rate_per_s > 0}
+    limits = {
+        tenant.name: _tenant_limit(tenant) for tenant in document.tenants if tenant.rate_per_s > 0
+    }
     tenants = {
-        key: Tenant(one.name, one.priority, one.isolated, limits.get(one.name))
-        for one in document.tenants
-        for key in one.api_keys
+        key: Tenant(tenant.name, tenant.priority, tenant.isolated, limits.get(tenant.name))
+        for tenant in document.tenants
+        for key in tenant.api_keys
     }
     return RoutingConfiguration(
         version=document.version,
         routes={host: tuple(routes) for host, routes in by_host.items()},
-        services={one.name: _service(one) for one in document.services},
-        cache_stores=tuple(_store(one) for one in document.services if one.kv_store_addr),
+        services={service.name: _service(service) for service in document.services},
+        cache_stores=tuple(
+            _cache_store(service) for service in document.services if service.kv_store_addr
+        ),
         tenants_by_key=tenants,
         keys_required=bool(document.tenants),
-        isolated_tenants=tuple(sorted(one.name for one in document.tenants if one.isolated)),
+        isolated_tenants=tuple(
+            sorted(tenant.name for tenant in document.tenants if tenant.isolated)
+        ),
         limits=CallerLimits(
             max_header_bytes=document.limits.max_header_bytes,
             max_body_bytes=document.limits.max_body_bytes,
@@ -226,43 +231,43 @@
     )
 
 
-def _tenant_limit(one: _Tenant) -> TenantLimit:
-    counts_tokens = one.token_unit == _TOKENS_UNIT
-    return TenantLimit(one.rate_per_s, one.burst_size, counts_tokens, one.plain_tokens)
+def _tenant_limit(tenant: _Tenant) -> TenantLimit:
+    counts_tokens = tenant.token_unit == _TOKENS_UNIT
+    return TenantLimit(tenant.rate_per_s, tenant.burst_size, counts_tokens, tenant.plain_tokens)
 
 
-def _route(one: _Route) -> Route:
-    parts = one.split or [_Part(one.service)]
+def _route(route: _Route) -> Route:
+    parts = route.split or [_Part(route.service)]
     return Route(
-        name=one.name,
-        host=one.host,
-        path_prefix=one.path_prefix,
-        kind=_KINDS[one.kind],
-        timeout_seconds=one.timeout_ms / 1000,
-        target_seconds=one.target_latency_ms / 1000,
-        priority=one.priority,
+        name=route.name,
+        host=route.host,
+        path_prefix=route.path_prefix,
+        kind=_ROUTE_KINDS[route.kind],
+        timeout_seconds=route.timeout_ms / 1000,
+        target_seconds=route.target_latency_ms / 1000,
+        priority=route.priority,
         split=tuple(SplitPart(part.service, part.weight) for part in parts),
-        max_attempts=one.max_attempts,
-        public=one.public,
-        session_affinity=one.session_affinity,
-        resumable=one.resumable,
-        pause_seconds=one.gap_aim_ms / 1000,
+        max_attempts=route.max_attempts,
+        public=route.public,
+        session_affinity=route.session_affinity,
+        resumable=route.resumable,
+        pause_seconds=route.gap_aim_ms / 1000,
     )
 
 
-def _service(one: _Service) -> Service:
-    engine = one.backend_engine
+def _service(service: _Service) -> Service:
+    engine = service.backend_engine
     if engine is None:
-        return Service(one.name, one.max_conns)
+        return Service(service.name, service.max_conns)
     profile = EngineProfile(
         engine.capacity,
         engine.kv_capacity,
         engine.kv_token_bytes,
         engine.link_mbps * 1e6 / 8,
     )
-    return Service(one.name, one.max_conns, profile)
+    return Service(service.name, service.max_conns, profile)
 
 
-def _store(one: _Service) -> CacheStore:
-    bandwidth = one.link_mbps * 1e6 / 8
-    return CacheStore(one.name, one.kv_store_addr, one.zone, bandwidth, one.kv_capacity)
+def _cache_store(store: _Service) -> CacheStore:
+    bandwidth = store.link_mbps * 1e6 / 8
+    return CacheStore(store.name, store.kv_store_addr, store.zone, bandwidth, store.kv_capacity)
--- a/src/wheelslip/platform/store.py
+++ b/src/wheelslip/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's metadata store (PROTOCOL, "The platform's metadata store")."""
+"""Client of the platform's metadata store (PROTOCOL, "The platform's metadata store")."""
 
 import asyncio
 import base64
@@ -29,12 +29,11 @@
 )
 
 CALL_SECONDS = 1.5
-"""Longest wait for an answer beyond what the call itself asks for."""
+"""Timeout of a call other than a watch."""
 
-WATCH_GRACE_SECONDS = 0.7
-"""The same for a watch. Whoever reads for others knows of no engine that leaves while a silent
-watch is waited for, and 2 s after its leaving an engine may get nothing more. A store that is 90 times
-slower than usual answers within 0.4 s."""
+WATCH_TIMEOUT_MARGIN_SECONDS = 0.7
+"""Time added to the requested wait to get the timeout of a watch. Short, so that a node without
+responses from the store polls its peers before the drain time of a departed worker has passed."""
 
 
 class _Item(msgspec.Struct):
@@ -44,21 +43,20 @@
     gone: bool = False
 
     def value(self) -> bytes:
-        # One item that cannot be decoded must not stop the rest of a listing or a watch: it is
-        # handed on as it stands, and refused by whoever reads its key.
+        # An invalid payload is returned undecoded so that it does not fail the whole call.
         try:
             return base64.b64decode(self.payload)
         except ValueError:
             return self.payload.encode()
 
 
-class _Items(msgspec.Struct):
+class _Page(msgspec.Struct):
     items: list[_Item]
     at: int
     more: bool = False
 
 
-class _Found(msgspec.Struct):
+class _Conflict(msgspec.Struct):
     items: list[_Item] = []
     at: int = 0
 
@@ -68,19 +66,18 @@
     at: int
 
 
-class _Done(msgspec.Struct):
+class _Committed(msgspec.Struct):
     revision: int
 
 
-class _Lease(msgspec.Struct):
+class _GrantedLease(msgspec.Struct):
     lease: int
 
 
 class PlatformStore:
-    """The asynchronous client of one store
-    (PROTOCOL, "The platform's metadata store"; each method is one call there).
+    """Asynchronous client of one store.
 
-    :param address: returns ``IP:PORT`` in force now.
+    :param address: returns the current ``IP:PORT`` of the store.
     """
 
     def __init__(self, address: Callable[[], str]):
@@ -88,79 +85,83 @@
         self._idle: list[tuple[str, HttpConnection]] = []
 
     async def range(self, prefix: str) -> RangeResult:
-        """Return all keys under a prefix, page by page (`GET /kv-range`)."""
+        """Return all keys under a prefix, read in pages (`GET /kv-range`)."""
         entries: dict[str, KeyValue] = {}
-        first_at = None
+        revision = None
         after = ""
         while True:
             query = f"?path_prefix={quote(prefix, safe='')}"
             query += f"&after={quote(after, safe='')}" if after else ""
             body = await self._read(f"/kv-range{query}", CALL_SECONDS)
-            page = _decode(body, _Items)
-            # Pages are no snapshot: watches go on from the first page's revision.
-            first_at = page.at if first_at is None else first_at
+            page = _decode(body, _Page)
+            # The pages are not one snapshot: watches must start at the revision of the first.
+            revision = page.at if revision is None else revision
             for item in page.items:
                 entries[item.tls_key] = KeyValue(item.tls_key, item.value(), item.revision)
             if not page.more or not page.items:
-                return RangeResult(first_at, tuple(entries.values()))
+                return RangeResult(revision, tuple(entries.values()))
             after = page.items[-1].tls_key
 
     async def watch(self, prefix: str, after: int, wait_seconds: float) -> WatchBatch:
-        """Wait for changes after a revision (`GET /kv-watch`)."""
+        """Wait for changes after a revision, at most ``wait_seconds`` (`GET /kv-watch`)."""
         query = f"path_prefix={quote(prefix, safe='')}&after={after}"
         query += f"&wait_ms={int(wait_seconds * 1000)}"
-        body = await self._read(f"/kv-watch?{query}", wait_seconds + WATCH_GRACE_SECONDS)
-        batch = _decode(body, _Changes)
+        body = await self._read(f"/kv-watch?{query}", wait_seconds + WATCH_TIMEOUT_MARGIN_SECONDS)
+        response = _decode(body, _Changes)
         changes = tuple(
             (item.tls_key, None if item.gone else item.value(), item.revision)
-            for item in batch.changes
+            for item in response.changes
         )
-        return WatchBatch(batch.at, changes)
+        return WatchBatch(response.at, changes)
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Do all changes or none (`POST /kv-txn`)."""
+        """Make all changes of a transaction or none (`POST /kv-txn`)."""
         document = {
             "expected_rev": [
                 {"tls_key": key, "revision": revision}
                 for key, revision in transaction.expected.items()
             ],
-            "put": [_put(one) for one in transaction.changes if isinstance(one, Put)],
-            "remove": [one.key for one in transaction.changes if isinstance(one, Delete)],
+            "put": [
+                _put_document(change) for change in transaction.changes if isinstance(change, Put)
+            ],
+            "remove": [change.key for change in transaction.changes if isinstance(change, Delete)],
         }
         status, body = await self._call("POST", "/kv-txn", document)
         if status == 412:
-            found = _decode(body, _Found)
-            items = tuple(KeyValue(one.tls_key, one.value(), one.revision) for one in found.items)
-            return TransactionResult(False, found.at, items)
-        _check(status)
-        return TransactionResult(True, _decode(body, _Done).revision)
+            conflict = _decode(body, _Conflict)
+            items = tuple(
+                KeyValue(item.tls_key, item.value(), item.revision) for item in conflict.items
+            )
+            return TransactionResult(False, conflict.at, items)
+        _check_status(status)
+        return TransactionResult(True, _decode(body, _Committed).revision)
 
     async def grant_lease(self, seconds: float) -> int:
         """Grant a lease and return its id (`POST /kv-lease`)."""
         status, body = await self._call("POST", "/kv-lease", {"ttl_ms": int(seconds * 1000)})
-        _check(status)
-        return _decode(body, _Lease).lease
+        _check_status(status)
+        return _decode(body, _GrantedLease).lease
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease (`POST /kv-keep/ID`)."""
+        """Renew a lease and return ``False`` if it has expired (`POST /kv-keep/ID`)."""
         status, _ = await self._call("POST", f"/kv-keep/{lease}", None)
         if status == 404:
             return False
-        _check(status)
+        _check_status(status)
         return True
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease (`DELETE /kv-lease-end/ID`)."""
+        """Revoke a lease, which removes its keys (`DELETE /kv-lease-end/ID`)."""
         await self._call("DELETE", f"/kv-lease-end/{lease}", None)
 
-    async def _read(self, target: str, seconds: float) -> bytes:
+    async def _read(self, target: str, timeout_seconds: float) -> bytes:
         try:
-            status, body = await self._exchange("GET", target, b"", seconds)
+            status, body = await self._exchange("GET", target, b"", timeout_seconds)
         except KeyValueOutcomeUnknown as error:
             raise KeyValueUnavailable(str(error)) from error
         if status == 410:
             raise WatchCompacted(target)
-        _check(status)
+        _check_status(status)
         return body
 
     async def _call(self, method: str, target: str, document: object) -> tuple[int, bytes]:
@@ -168,30 +169,30 @@
         return await self._exchange(method, target, body, CALL_SECONDS)
 
     async def _exchange(
-        self, method: str, target: str, body: bytes, seconds: float
+        self, method: str, target: str, body: bytes, timeout_seconds: float
     ) -> tuple[int, bytes]:
         address = self._address()
         connection = await self._connection(address)
-        done = False
+        completed = False
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_seconds):
                 connection.send(method, target.encode(), _headers(address, body), body)
-                response, answer = await read_whole(connection)
-            done = True
+                response, response_body = await read_whole(connection)
+            completed = True
         except (PeerLost, TimeoutError) as error:
             raise KeyValueOutcomeUnknown(f"{target}: {error!r}") from error
         finally:
-            if done and connection.reusable:
+            if completed and connection.reusable:
                 connection.make_ready()
                 self._idle.append((address, connection))
             else:
                 connection.close()
-        return response.status_code, answer
+        return response.status_code, response_body
 
     async def _connection(self, address: str) -> HttpConnection:
         while self._idle:
-            kept_address, connection = self._idle.pop()
-            if kept_address == address and connection.open:
+            idle_address, connection = self._idle.pop()
+            if idle_address == address and connection.open:
                 return connection
             connection.close()
         try:
@@ -208,19 +209,19 @@
     return headers
 
 
-def _put(one: Put) -> dict:
-    document = {"tls_key": one.key, "payload": base64.b64encode(one.value).decode()}
-    return document | ({"lease": one.lease} if one.lease else {})
+def _put_document(put: Put) -> dict:
+    document = {"tls_key": put.key, "payload": base64.b64encode(put.value).decode()}
+    return document | ({"lease": put.lease} if put.lease else {})
 
 
 def _decode(body: bytes, kind):
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise KeyValueUnavailable(f"unreadable answer: {error}") from error
+        raise KeyValueUnavailable(f"response cannot be decoded: {error}") from error
 
 
-def _check(status: int) -> None:
+def _check_status(status: int) -> None:
     if status == 429:
         raise KeyValueUnavailable("rate limited")
     if status != 200:
--- a/src/wheelslip/platform/workers.py
+++ b/src/wheelslip/platform/workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers and orders to them (PROTOCOL, "Requests")."""
+"""Reports from workers and orders to them (PROTOCOL, "Requests")."""
 
 from collections.abc import Callable
 
@@ -26,9 +26,9 @@
 
 
 class PlatformWorkers:
-    """Calls of workers beside requests (PROTOCOL, "Requests").
+    """Client for the reports and orders of workers.
 
-    :ivar on_answer: called with what a worker tells of itself in an answer.
+    :ivar on_answer: called with the metadata of each response that is not from another worker.
     """
 
     def __init__(self):
@@ -39,24 +39,24 @@
         )
 
     async def report(self, worker: WorkerInfo) -> WorkerReport:
-        """Ask a worker for its report (`GET /report`)."""
-        answer = await self._exchange(worker, "GET", b"/report")
-        if answer.status != 200:
-            self._tell(worker, answer, AnswerSource.REPORT)
-            raise WorkerUnreachable(f"report: status {answer.status}")
+        """Request the report of a worker (`GET /report`)."""
+        response = await self._exchange(worker, "GET", b"/report")
+        if response.status != 200:
+            self._notify(worker, response, AnswerSource.REPORT)
+            raise WorkerUnreachable(f"report: status {response.status}")
         try:
-            report = msgspec.json.decode(answer.body, type=_Report)
+            report = msgspec.json.decode(response.body, type=_Report)
         except msgspec.MsgspecError as error:
             raise WorkerUnreachable(f"report: {error}") from error
         if report.born in (0, worker.born):
-            self._tell(worker, answer, AnswerSource.REPORT)
-        weights = {one.name: one.version for one in report.model_ids}
+            self._notify(worker, response, AnswerSource.REPORT)
+        weights = {model.name: model.version for model in report.model_ids}
         return WorkerReport(
             report.busy, report.sequence, weights, report.active, report.queued, report.born
         )
 
     async def order_weights(self, order: WeightsOrder) -> int:
-        """Give the order to load a version once running requests have ended (`POST /order`)."""
+        """Order a worker to load weights and return the response status (`POST /order`)."""
         document = {
             "opcode": "version",
             "model_id": order.model,
@@ -66,11 +66,11 @@
             "fence": order.fencing_token,
             "expected_rev": order.expected_sequence,
         }
-        answer = await self._exchange(
+        response = await self._exchange(
             order.worker, "POST", b"/order", msgspec.json.encode(document)
         )
-        self._tell(order.worker, answer, AnswerSource.ORDER)
-        return answer.status
+        self._notify(order.worker, response, AnswerSource.ORDER)
+        return response.status
 
     async def _exchange(
         self, worker: WorkerInfo, method: str, target: bytes, body: bytes = b""
@@ -81,7 +81,7 @@
             headers.append((b"Content-Length", b"%d" % len(body)))
         return await self._calls.exchange(worker, method, target, headers, body)
 
-    def _tell(self, worker: WorkerInfo, answer: ControlAnswer, source: AnswerSource) -> None:
-        metadata = self._dialect.decode_answer(answer.response.headers)
+    def _notify(self, worker: WorkerInfo, response: ControlAnswer, source: AnswerSource) -> None:
+        metadata = self._dialect.decode_answer(response.response.headers)
         if metadata.instance in (None, worker.worker_id):
-            self.on_answer(worker, answer.status, metadata, source)
+            self.on_answer(worker, response.status, metadata, source)
--- a/src/wheelslip/weights/__init__.py
+++ b/src/wheelslip/weights/__init__.py
@@ -1,5 +1,5 @@
-"""Weights on engines: bringing versions to the declared state by fenced orders.
+"""Rollout of weights versions to engines and workers by fenced orders.
 
-Engines themselves load from the platform's rate-limited weight store; what this package
-keeps is the number that load at once.
+Engines load weights from the rate-limited weight store of the platform. This package decides which
+of them load, and limits how many do so at the same time.
 """
--- a/src/wheelslip/weights/controller.py
+++ b/src/wheelslip/weights/controller.py
@@ -1,4 +1,4 @@
-"""The placement controller: one node a pool carries rollouts out, under a fenced lease."""
+"""Placement controller: one node per pool carries out rollouts while it holds a fenced lease."""
 
 import threading
 from collections.abc import Callable
@@ -14,13 +14,17 @@
 from wheelslip.routing.model import EngineInfo, EngineState
 from wheelslip.weights.rollout import EnginePhase, EngineSnapshot, Order, OrderKind, next_orders
 
-RECONCILE_SECONDS = 1.0
+RECONCILE_INTERVAL_SECONDS = 1.0
 LEASE_SECONDS = 5
 _DUTY = "placement"
 
 
 class PlacementController:
-    """Reconciles every pool whose duty hashes to this node."""
+    """Reconciles the pools whose placement duty is assigned to this node by rendezvous hashing.
+
+    :param members: returns the live nodes.
+    :param configuration: returns the current configuration, ``None`` if there is none yet.
+    """
 
     def __init__(
         self,
@@ -38,48 +42,51 @@
         self._members = members
         self._configuration = configuration
         self._leases: dict[str, DutyLease] = {}
-        self._holding: set[str] = set()
+        self._held_pools: set[str] = set()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="placement", daemon=True)
 
     def start(self) -> None:
-        """Begin to reconcile."""
+        """Start the reconcile thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End; the lease lapses and another node goes on."""
+        """Stop the reconcile thread. The leases expire, and other nodes continue."""
         self._stopping.set()
 
     def _run(self) -> None:
-        while not self._stopping.wait(RECONCILE_SECONDS):
+        while not self._stopping.wait(RECONCILE_INTERVAL_SECONDS):
             configuration = self._configuration()
             if configuration is None:
                 continue
             for pool, spec in configuration.pools.items():
-                wanted = {
+                desired_versions = {
                     name: model.version
                     for name, model in configuration.models.items()
                     if model.pool == pool
                 }
-                if self._owns(pool) and self._differs(wanted):
-                    self._reconcile(pool, wanted, spec.loads_at_once)
+                if self._owns(pool) and self._needs_orders(desired_versions):
+                    self._reconcile(pool, desired_versions, spec.loads_at_once)
 
     def _owns(self, pool: str) -> bool:
         names = [member.name for member in self._members()]
         return rendezvous.owner(f"{_DUTY}/{pool}", names) == self._me.name
 
-    def _engines(self, wanted: dict[str, str]) -> list[EngineInfo]:
-        return [one for one in self._directory.engines() if one.model in wanted]
+    def _engines(self, desired_versions: dict[str, str]) -> list[EngineInfo]:
+        return [engine for engine in self._directory.engines() if engine.model in desired_versions]
 
-    def _differs(self, wanted: dict[str, str]) -> bool:
-        """Whether any engine may need an order; a pool at rest costs no lease."""
+    def _needs_orders(self, desired_versions: dict[str, str]) -> bool:
+        """Return whether an engine may need an order; otherwise no lease is acquired."""
         return any(
-            one.weights_version != wanted[one.model] or one.state is not EngineState.SERVING
-            for one in self._engines(wanted)
-            if one.state is not EngineState.DOWN
+            engine.weights_version != desired_versions[engine.model]
+            or engine.state is not EngineState.SERVING
+            for engine in self._engines(desired_versions)
+            if engine.state is not EngineState.DOWN
         )
 
-    def _reconcile(self, pool: str, wanted: dict[str, str], loads_at_once: int) -> None:
+    def _reconcile(
+        self, pool: str, desired_versions: dict[str, str], max_concurrent_loads: int
+    ) -> None:
         lease = self._leases.get(pool)
         if lease is None:
             duty = f"{_DUTY}/{pool}"
@@ -88,27 +95,29 @@
         try:
             token = lease.fencing_token()
         except LeaseNotHeld as error:
-            if pool in self._holding:
+            if pool in self._held_pools:
                 log_event(LogEvent.LEASE_LOST, duty=f"{_DUTY}/{pool}", reason=str(error))
-            self._holding.discard(pool)
+            self._held_pools.discard(pool)
             return
-        self._holding.add(pool)
-        engines = {one.name: one for one in self._engines(wanted)}
-        snapshots = [snapshot for one in engines.values() if (snapshot := self._read(one))]
-        for order in next_orders(snapshots, wanted, loads_at_once):
-            self._give(engines[order.engine], order, token)
+        self._held_pools.add(pool)
+        engines = {engine.name: engine for engine in self._engines(desired_versions)}
+        snapshots = [
+            snapshot for engine in engines.values() if (snapshot := self._read_snapshot(engine))
+        ]
+        for order in next_orders(snapshots, desired_versions, max_concurrent_loads):
+            self._send_order(engines[order.engine], order, token)
 
-    def _read(self, engine: EngineInfo) -> EngineSnapshot | None:
+    def _read_snapshot(self, engine: EngineInfo) -> EngineSnapshot | None:
         try:
             status = self._client.status(engine.address)
         except EngineError:
             return None
-        known = {phase.value for phase in EnginePhase}
-        phase = EnginePhase(status.state) if status.state in known else EnginePhase.LEAVING
+        phases = {phase.value for phase in EnginePhase}
+        phase = EnginePhase(status.state) if status.state in phases else EnginePhase.LEAVING
         running = status.running + status.waiting
         return EngineSnapshot(engine.name, status.model, status.weights_version, phase, running)
 
-    def _give(self, engine: EngineInfo, order: Order, token: int) -> None:
+    def _send_order(self, engine: EngineInfo, order: Order, token: int) -> None:
         document = {"action": order.kind.value}
         if order.kind is OrderKind.LOAD_WEIGHTS:
             document["weights_version"] = order.weights_version
@@ -116,7 +125,7 @@
         try:
             self._client.order(engine, token, document)
         except EngineError as error:
-            # A lost answer may hide an order taken; the next step asks the engine itself.
+            # The order may have been accepted; the next step reads the state of the engine.
             log_event(LogEvent.ORDER_REFUSED, reason=str(error), **fields)
             return
         log_event(LogEvent.ORDER_GIVEN, **fields)
--- a/src/wheelslip/weights/rollout.py
+++ b/src/wheelslip/weights/rollout.py
@@ -1,7 +1,8 @@
-"""Rollout of a weights version over the engines of a pool, as a pure reconcile step.
+"""Reconcile step of the rollout of weights versions to the engines of a pool, a pure function.
 
-Each step looks only at what the engines say now, so it can be re-run by another node after
-a crash at any point: an engine is held (no new work), emptied, loaded, and put back.
+An engine is held (accepts no new requests), finishes its requests, loads the weights and serves
+again. Each step depends only on the reported states of the engines, so another node can continue a
+rollout after a crash at any point.
 """
 
 import enum
@@ -10,7 +11,7 @@
 
 
 class EnginePhase(enum.StrEnum):
-    """What an engine says it is doing."""
+    """Phase that an engine reports."""
 
     SERVING = "serving"
     HELD = "held"
@@ -19,7 +20,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """Orders to engines."""
+    """Kinds of orders to engines."""
 
     HOLD = "hold"
     LOAD_WEIGHTS = "load_weights"
@@ -28,7 +29,10 @@
 
 @dataclass(frozen=True)
 class EngineSnapshot:
-    """One engine's own account, just read."""
+    """State of an engine as it reported it.
+
+    :ivar running: requests in the engine, including queued ones.
+    """
 
     name: str
     model: str
@@ -39,7 +43,10 @@
 
 @dataclass(frozen=True)
 class Order:
-    """One order to one engine."""
+    """An order to an engine.
+
+    :ivar weights_version: version to load; empty for other kinds.
+    """
 
     engine: str
     kind: OrderKind
@@ -47,25 +54,27 @@
 
 
 def next_orders(
-    engines: list[EngineSnapshot], wanted: Mapping[str, str], loads_at_once: int
+    engines: list[EngineSnapshot], desired_versions: Mapping[str, str], max_concurrent_loads: int
 ) -> list[Order]:
-    """Return the orders that bring a pool one step nearer to the wanted versions.
+    """Return the next orders of a rollout of the desired versions to a pool.
 
-    :param wanted: weights version by model.
-    :param loads_at_once: engines that may be out of service for loading at one time.
+    :param desired_versions: weights version by model.
+    :param max_concurrent_loads: maximum number of engines that are held or loading.
     """
     orders = []
-    out_of_service = sum(one.phase in (EnginePhase.HELD, EnginePhase.LOADING) for one in engines)
-    for engine in sorted(engines, key=lambda one: one.name):
-        version = wanted.get(engine.model)
+    out_of_service = sum(
+        snapshot.phase in (EnginePhase.HELD, EnginePhase.LOADING) for snapshot in engines
+    )
+    for engine in sorted(engines, key=lambda snapshot: snapshot.name):
+        version = desired_versions.get(engine.model)
         if version is None:
             continue
         if engine.phase is EnginePhase.HELD:
             orders += _order_for_held(engine, version)
             continue
-        is_old = engine.phase is EnginePhase.SERVING and engine.weights_version != version
-        has_slot = out_of_service < loads_at_once
-        if is_old and has_slot and _leaves_one_serving(engine, engines, orders):
+        is_outdated = engine.phase is EnginePhase.SERVING and engine.weights_version != version
+        has_slot = out_of_service < max_concurrent_loads
+        if is_outdated and has_slot and _may_be_held(engine, engines, orders):
             out_of_service += 1
             orders.append(Order(engine.name, OrderKind.HOLD))
     return orders
@@ -75,20 +84,20 @@
     if engine.weights_version == version:
         return [Order(engine.name, OrderKind.SERVE)]
     if engine.running == 0:
-        # Only an empty engine loads: no stream is cut and no cache holds two versions.
+        # An idle engine loads without interrupting streams or mixing versions in its cache.
         return [Order(engine.name, OrderKind.LOAD_WEIGHTS, version)]
     return []
 
 
-def _leaves_one_serving(
+def _may_be_held(
     engine: EngineSnapshot, engines: list[EngineSnapshot], orders: list[Order]
 ) -> bool:
-    """Whether another engine of the model serves on, unless there is only this one."""
-    of_model = [one for one in engines if one.model == engine.model]
-    held_now = {order.engine for order in orders if order.kind is OrderKind.HOLD}
+    """Return whether another engine of the model stays in service, or there is no other one."""
+    of_model = [other for other in engines if other.model == engine.model]
+    held_names = {order.engine for order in orders if order.kind is OrderKind.HOLD}
     serving = [
-        one
-        for one in of_model
-        if one.phase is EnginePhase.SERVING and one.name not in held_now | {engine.name}
+        other
+        for other in of_model
+        if other.phase is EnginePhase.SERVING and other.name not in held_names | {engine.name}
     ]
     return bool(serving) or len(of_model) == 1
--- a/src/wheelslip/weights/schedule.py
+++ b/src/wheelslip/weights/schedule.py
@@ -1,35 +1,36 @@
-"""When to load which worker: the newest version, at once, a part of the workers at a time.
+"""Schedule of weight loads, as pure functions: which workers load the newest version next.
 
-An answer made on replaced weights is worth less to its caller, and a rollout that is put off
-until its bound takes workers away just when all requests must go to the few that are done.
-A worker that loads serves nobody, so only a part of them loads at a time; versions that are
-named while workers wait for their turn are loaded once, together.
-Pure: time and state are arguments.
+Rollouts start immediately, because responses generated with replaced weights are worth less to
+callers. A loading worker serves no requests, so only a fraction of a model's workers loads at the
+same time, and as many as necessary when the deadline of the rollout is near. A version named before
+a worker starts its load replaces the earlier ones.
 """
 
 import math
 from dataclasses import dataclass
 
-PREFERRED_SHARE = 1 / 4
-"""Part of a model's workers that loads at one time when the bound leaves a choice, rounded up."""
+PREFERRED_LOADING_FRACTION = 1 / 4
+"""Fraction of a model's workers that load concurrently if the deadline allows it, rounded up."""
 
-GREATEST_SHARE = 1 / 2
-"""Part of a model's workers that may load at one time when the bound is near."""
+MAX_LOADING_FRACTION = 1 / 2
+"""Maximum fraction of a model's workers that load concurrently, rounded down but at least one."""
 
-SAFETY_SECONDS = 1.6
-"""Time kept between the planned end of a rollout and the bound."""
+SAFETY_MARGIN_SECONDS = 1.6
+"""Time reserved between the planned end of a rollout and its deadline."""
 
 INITIAL_LOAD_SECONDS = 1.3
-"""First guess of the time from an order to the new weights, running requests included."""
+"""Initial estimate of the duration of a load, including the wait for running requests."""
 
 
 @dataclass(frozen=True)
 class WorkerWeights:
-    """One worker's version of a model.
+    """Weights version of a model at a worker, and whether the worker can be ordered to load.
 
-    :ivar due: when requests may no longer begin on its version; ``None`` if it is the newest.
-    :ivar loading: an order is under way there.
-    :ivar paused: it did not answer of late, so it takes no other's turn.
+    :ivar due: time from which no request may start on the version; ``None`` if it is the
+        newest.
+    :ivar loading: whether a load is in progress.
+    :ivar running: number of requests at the worker.
+    :ivar paused: whether no order may be sent to the worker at present.
     """
 
     id: str
@@ -40,34 +41,41 @@
     paused: bool = False
 
 
-def loads_at_once(
-    workers: list[WorkerWeights], now: float, load_seconds: float, behind: bool = False
+def concurrent_loads(
+    workers: list[WorkerWeights], now: float, load_seconds: float, has_backlog: bool = False
 ) -> int:
-    """Return how many workers load at one time so that all are done before the bound.
+    """Return how many workers should load concurrently to finish the rollout by its deadline.
 
-    :param behind: the workers have more to read than they can spare one for; loads then wait,
-        as long as the bound allows.
+    :param load_seconds: estimated duration of a load.
+    :param has_backlog: whether the workers have too large a prefill backlog to take one out of
+        service. Loads are then deferred as long as the deadline allows.
     """
-    old = [one for one in workers if one.due is not None]
-    preferred = math.ceil(len(workers) * PREFERRED_SHARE)
-    greatest = max(1, int(len(workers) * GREATEST_SHARE))
-    if not old:
+    outdated = [worker for worker in workers if worker.due is not None]
+    preferred = math.ceil(len(workers) * PREFERRED_LOADING_FRACTION)
+    maximum = max(1, int(len(workers) * MAX_LOADING_FRACTION))
+    if not outdated:
         return preferred
-    seconds_left = min(one.due for one in old) - SAFETY_SECONDS - now
-    waves = math.ceil(len(old) / preferred)
-    if behind and seconds_left > waves * load_seconds:
+    seconds_left = min(worker.due for worker in outdated) - SAFETY_MARGIN_SECONDS - now
+    waves = math.ceil(len(outdated) / preferred)
+    if has_backlog and seconds_left > waves * load_seconds:
         return 0
     if seconds_left < load_seconds:
-        return greatest
-    needed = math.ceil(len(old) * load_seconds / seconds_left)
-    return min(greatest, max(preferred, needed))
+        return maximum
+    needed = math.ceil(len(outdated) * load_seconds / seconds_left)
+    return min(maximum, max(preferred, needed))
 
 
 def next_loads(
-    workers: list[WorkerWeights], now: float, load_seconds: float, behind: bool = False
+    workers: list[WorkerWeights], now: float, load_seconds: float, has_backlog: bool = False
 ) -> list[str]:
-    """Return the workers to order now, those with the earliest bound first."""
-    room = loads_at_once(workers, now, load_seconds, behind) - sum(one.loading for one in workers)
-    waiting = [one for one in workers if one.due is not None and not one.loading and not one.paused]
-    waiting.sort(key=lambda one: (one.due, one.running, one.id))
-    return [one.id for one in waiting[: max(0, room)]]
+    """Return the ids of the workers to order now, those with the earliest deadline first."""
+    free_slots = concurrent_loads(workers, now, load_seconds, has_backlog) - sum(
+        worker.loading for worker in workers
+    )
+    waiting = [
+        worker
+        for worker in workers
+        if worker.due is not None and not worker.loading and not worker.paused
+    ]
+    waiting.sort(key=lambda worker: (worker.due, worker.running, worker.id))
+    return [worker.id for worker in waiting[: max(0, free_slots)]]
--- a/tests/unit/forwarding/test_platform_headers.py
+++ b/tests/unit/forwarding/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, both ways."""
+"""Encoding and decoding of the platform's headers."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 DIALECT = PlatformHeaders()
 WORKER = WorkerInfo("i-1", "svc", "127.0.0.1:9", "zone", State.READY, 4, {"m": 3})
-SENT = [
+REQUEST_HEADERS = [
     (b"Host", b"h.example"),
     (b"Wheelslip-Request-Id", b"r1"),
     (b"Wheelslip-Deadline-Ms", b"5000"),
@@ -21,7 +21,7 @@
 
 
 def request(extra=()):
-    headers = [*SENT, *extra]
+    headers = [*REQUEST_HEADERS, *extra]
     metadata = DIALECT.decode_request(headers)
     return ForwardedRequest("POST", b"/a/b?c", "h.example", headers, b"x", metadata, 0.0)
 
@@ -39,7 +39,7 @@
     return Dispatch(**(values | changes))
 
 
-def test_what_the_caller_told_is_read():
+def test_request_headers_are_decoded():
     metadata = request().metadata
     assert (metadata.request_id, metadata.deadline_seconds) == ("r1", 5.0)
     assert (metadata.api_key, metadata.model) == ("secret", "m")
@@ -51,12 +51,12 @@
     ]
 
 
-def test_a_deadline_that_is_no_number_names_its_header():
+def test_invalid_deadline_raises_an_error_that_names_the_header():
     with pytest.raises(ValueError, match="Wheelslip-Deadline-Ms"):
         DIALECT.decode_request([(b"Wheelslip-Deadline-Ms", b"soon")])
 
 
-def test_the_key_stays_and_the_tenant_goes_on():
+def test_worker_receives_the_tenant_but_not_the_api_key():
     headers = dict(DIALECT.worker_headers(request(), dispatch()))
     assert b"Authorization" not in headers
     assert headers[b"Wheelslip-Tenant-Id"] == b"t1"
@@ -67,7 +67,7 @@
     assert headers[b"Wheelslip-Prefix-Hash"] == b"5c:800,91:410,e4:250"
 
 
-FORGED = [
+SYSTEM_HEADERS = [
     (b"wheelslip-tenant-id", b"other"),
     (b"Wheelslip-Expect-Instance", b"i-9"),
     (b"Wheelslip-Cache-Salt", b"theirs"),
@@ -81,15 +81,15 @@
 
 
 def test_what_only_the_system_sets_is_not_taken_from_a_caller():
-    plain = dispatch(tenant=None, cache=None, priority=None, weights_version=None)
-    headers = DIALECT.worker_headers(request(FORGED), plain)
+    minimal = dispatch(tenant=None, cache=None, priority=None, weights_version=None)
+    headers = DIALECT.worker_headers(request(SYSTEM_HEADERS), minimal)
     names = [name.lower() for name, _ in headers]
-    for name, value in FORGED:
+    for name, value in SYSTEM_HEADERS:
         assert (name, value) not in headers
         assert names.count(name.lower()) == (name.lower() == b"wheelslip-expect-instance")
 
 
-def test_headers_of_one_connection_go_no_further():
+def test_hop_by_hop_headers_are_not_forwarded():
     extra = [
         (b"Connection", b"close, X-Hop"),
         (b"X-Hop", b"1"),
@@ -100,7 +100,7 @@
     assert not names & {b"connection", b"x-hop", b"transfer-encoding", b"keep-alive"}
 
 
-def test_an_answer_is_read():
+def test_response_headers_are_decoded():
     answer = DIALECT.decode_answer(
         [
             (b"wheelslip-request-id", b"r1"),
@@ -114,33 +114,33 @@
     assert answer.weights_version == 4 and answer.keep_alive_seconds == 5.0 and answer.closes
 
 
-def test_an_answer_says_that_its_worker_leaves_and_when_to_come_back():
+def test_leaving_and_retry_after_headers_are_decoded():
     answer = DIALECT.decode_answer([(b"Server-Leaving", b"1"), (b"Retry-After", b"2.5")])
     assert answer.leaving and answer.retry_seconds == 2.5
-    silent = DIALECT.decode_answer([])
-    assert not silent.leaving and silent.retry_seconds is None
+    without_headers = DIALECT.decode_answer([])
+    assert not without_headers.leaving and without_headers.retry_seconds is None
 
 
 @pytest.mark.parametrize("value", [b"0", b"", b"no", b"11"])
-def test_only_the_published_word_of_leaving_counts(value):
+def test_other_values_of_the_leaving_header_are_ignored(value):
     assert not DIALECT.decode_answer([(b"server-leaving", value)]).leaving
 
 
 @pytest.mark.parametrize(
     "value", [b"soon", b"-4", b"+3", b"1e400", b"nan", b"inf", b"", b"1.", b"3 s", b"\xb2", b"1_0"]
 )
-def test_what_is_no_time_to_come_back_is_passed_over(value):
+def test_invalid_retry_after_is_ignored(value):
     assert DIALECT.decode_answer([(b"retry-after", value)]).retry_seconds is None
 
 
-def test_more_digits_than_a_number_holds_are_for_ever():
+def test_retry_after_beyond_a_float_is_infinite():
     assert DIALECT.decode_answer([(b"retry-after", b"9" * 400)]).retry_seconds == float("inf")
 
 
 @pytest.mark.parametrize(
     ("value", "rate"), [(b"1", 1.0), (b" 2.6 ", 2.6), (b".5", 0.5), (b"0", 0.0), (b"007", 7.0)]
 )
-def test_a_rate_limit_is_a_decimal_number(value, rate):
+def test_rate_limit_is_a_decimal_number(value, rate):
     answer = DIALECT.decode_answer([(b"Server-Limit", value)])
     assert (answer.rate_limit, answer.unreadable_limit) == (rate, "")
 
@@ -148,12 +148,12 @@
 @pytest.mark.parametrize(
     "value", [b"soon", b"-4", b"+3", b"1e400", b"nan", b"inf", b"1.", b"3/s", b"\xb2", b"1_0"]
 )
-def test_a_rate_limit_that_cannot_be_read_is_told_apart_from_none(value):
+def test_invalid_rate_limit_is_distinguished_from_an_absent_one(value):
     answer = DIALECT.decode_answer([(b"server-limit", value)])
     assert answer.rate_limit is None and answer.unreadable_limit == value.decode("latin-1")
 
 
 @pytest.mark.parametrize("headers", [[], [(b"server-limit", b"")]])
-def test_no_rate_limit_is_none(headers):
+def test_absent_rate_limit_is_none(headers):
     answer = DIALECT.decode_answer(headers)
     assert (answer.rate_limit, answer.unreadable_limit) == (None, "")
