--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -123,8 +123,8 @@
         "a claim of another attempt is taken for one's own",
         6,
         "keyvalue/claims.py",
-        "held.record.attempt_id == record.attempt_id",
-        "held is not None",
+        "stored.record.attempt_id == record.attempt_id",
+        "stored is not None",
         "test_at_most_once.py::test_same_key_at_all_nodes_at_the_same_time",
     ),
     _one(
--- a/src/wheelslip/callers/answer.py
+++ b/src/wheelslip/callers/answer.py
@@ -8,7 +8,7 @@
 
 from wheelslip.callers.schema import CompletionRequest
 from wheelslip.errors import WheelslipError
-from wheelslip.keyvalue.claims import KeptAnswer
+from wheelslip.keyvalue.claims import StoredResponse
 
 
 class _PromptDetails(msgspec.Struct):
@@ -101,7 +101,7 @@
         """Return a plain answer made of all parts."""
         return self._whole_answer(collect(parts))
 
-    def parts_of_kept(self, answer: KeptAnswer) -> Iterator[AnswerPart]:
+    def parts_of_kept(self, answer: StoredResponse) -> Iterator[AnswerPart]:
         """Yield a kept answer as parts, so that it can be streamed again."""
         usage = Usage(
             answer.prompt_tokens,
@@ -120,11 +120,11 @@
             choice = {"index": 0, "text": text, "finish_reason": finish_reason}
         return json.dumps(self._head(chunk=True) | {"choices": [choice]}).encode()
 
-    def _usage_chunk(self, answer: KeptAnswer) -> bytes:
+    def _usage_chunk(self, answer: StoredResponse) -> bytes:
         document = self._head(chunk=True) | {"choices": [], "usage": _usage_document(answer)}
         return json.dumps(document).encode()
 
-    def _whole_answer(self, answer: KeptAnswer) -> dict:
+    def _whole_answer(self, answer: StoredResponse) -> dict:
         choice: dict[str, object] = {"index": 0, "finish_reason": answer.finish_reason}
         if self._request.chat:
             choice["message"] = {"role": "assistant", "content": answer.text}
@@ -146,7 +146,7 @@
         }
 
 
-def collect(parts: Iterator[AnswerPart]) -> KeptAnswer:
+def collect(parts: Iterator[AnswerPart]) -> StoredResponse:
     """Return all parts of an answer as one."""
     texts = []
     finish_reason = ""
@@ -155,7 +155,7 @@
         texts.append(part.text)
         finish_reason = part.finish_reason or finish_reason
         usage = part.usage or usage
-    return KeptAnswer(
+    return StoredResponse(
         "".join(texts),
         finish_reason,
         usage.prompt_tokens,
@@ -164,7 +164,7 @@
     )
 
 
-def _usage_document(answer: KeptAnswer) -> dict:
+def _usage_document(answer: StoredResponse) -> dict:
     return {
         "prompt_tokens": answer.prompt_tokens,
         "completion_tokens": answer.completion_tokens,
--- a/src/wheelslip/callers/claimed_relay.py
+++ b/src/wheelslip/callers/claimed_relay.py
@@ -25,7 +25,7 @@
 from wheelslip.keyvalue.claims import (
     ClaimRecord,
     ClaimStoreUnavailable,
-    HeldClaim,
+    StoredClaim,
     claim_key,
 )
 from wheelslip.routing.retry import backoff_seconds
@@ -39,7 +39,7 @@
 class _Takeover:
     """The claim whose attempt was proven not run, and which may pass on; none at first."""
 
-    claim: HeldClaim | None = None
+    claim: StoredClaim | None = None
 
     @property
     def expected_revision(self) -> int:
@@ -84,7 +84,7 @@
                 raise WheelslipError(kind, error.reason) from error
         raise WheelslipError(ErrorKind.ATTEMPTS_EXHAUSTED, "every attempt was proven not run")
 
-    def _claim(self, takeover: _Takeover) -> tuple[HeldClaim, bool]:
+    def _claim(self, takeover: _Takeover) -> tuple[StoredClaim, bool]:
         """Return the claim on this key and whether its attempt is ours to start."""
         try:
             dispatch = self._services.router.place(
@@ -107,7 +107,7 @@
             self._services.router.cancelled(self._call.request_id)
         return outcome.claim, outcome.owned
 
-    def _existing_claim(self, takeover: _Takeover, refusal: WheelslipError) -> HeldClaim:
+    def _existing_claim(self, takeover: _Takeover, refusal: WheelslipError) -> StoredClaim:
         """Return the stored claim of an earlier attempt.
 
         :raises WheelslipError: the refusal, when there is no other attempt to ask.
@@ -120,7 +120,7 @@
             raise refusal
         return claim
 
-    def _answer(self, claim: HeldClaim, owned: bool) -> Iterator[AnswerPart]:
+    def _answer(self, claim: StoredClaim, owned: bool) -> Iterator[AnswerPart]:
         record = claim.record
         if record.request_digest != self._call.request.digest:
             message = "Idempotency-Key: already used with another request body"
@@ -160,7 +160,7 @@
             parts = TrackedAttempt(self._services, self._call.request_id, target).join()
 
     def _completing(
-        self, claim: HeldClaim, target: AttemptTarget, parts: Iterator[AnswerPart]
+        self, claim: StoredClaim, target: AttemptTarget, parts: Iterator[AnswerPart]
     ) -> Iterator[AnswerPart]:
         """Yield ``parts`` and keep the finished answer, also when the caller has gone."""
         seen: list[AnswerPart] = []
@@ -174,7 +174,7 @@
             raise
         self._services.claims.complete(claim, collect(iter(seen)))
 
-    def _complete_in_background(self, claim: HeldClaim, target: AttemptTarget) -> None:
+    def _complete_in_background(self, claim: StoredClaim, target: AttemptTarget) -> None:
         """Let the only permitted attempt run to its end and keep its answer for a repeat."""
 
         def finish() -> None:
--- a/src/wheelslip/forwarding/interface.py
+++ b/src/wheelslip/forwarding/interface.py
@@ -79,10 +79,10 @@
     async def grant_lease(self, seconds: float) -> int:
         """Grant a lease and return its id."""
 
-    async def keep_lease(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; ``False`` when it is over."""
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease and remove its keys."""
 
 
--- a/src/wheelslip/forwarding/leased_key.py
+++ b/src/wheelslip/forwarding/leased_key.py
@@ -97,7 +97,7 @@
         put = Put(self._key, self._value, lease)
         result = await self._store.transact(Transaction({self._key: 0}, (put,)))
         if not result.succeeded:
-            await self._store.end_lease(lease)
+            await self._store.revoke_lease(lease)
             # Another node has acquired the key; wait until the watch reports it.
             await asyncio.sleep(POLL_SECONDS)
             return
@@ -127,7 +127,7 @@
         sent_at: dict[asyncio.Task, float] = {}
         try:
             for timeout in (retry_after_seconds, None):
-                call = asyncio.create_task(self._store.keep_lease(self._lease))
+                call = asyncio.create_task(self._store.renew_lease(self._lease))
                 sent_at[call] = self._clock()
                 done, _ = await asyncio.wait(
                     sent_at, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
@@ -159,7 +159,7 @@
         self.mark_lost(reason)
         if lease:
             try:
-                await self._store.end_lease(lease)
+                await self._store.revoke_lease(lease)
             except KeyValueError as error:
                 log_event(LogEvent.LEASE_CALL_FAILED, duty=self._key, reason=str(error))
 
--- a/src/wheelslip/forwarding/rollout.py
+++ b/src/wheelslip/forwarding/rollout.py
@@ -198,7 +198,9 @@
         started = [
             self._begin_load(by_id[incarnation], model)
             for incarnation, state in states.items()
-            if self._is_inherited_load(incarnation) and state.due is not None and not state.loading
+            if self._is_inherited_load(incarnation)
+            and state.deadline is not None
+            and not state.loading
         ]
         states |= {
             load.worker.info.id: self._worker_weights(load.worker, model) for load in started
--- a/src/wheelslip/keyvalue/claims.py
+++ b/src/wheelslip/keyvalue/claims.py
@@ -38,7 +38,7 @@
 _COMPLETION_RETRY_SECONDS = 1.0
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredResponse(msgspec.Struct, frozen=True):
     """A completed response, stored to be returned for later requests with the same key."""
 
     text: str
@@ -60,11 +60,11 @@
     attempt_id: str
     engine: EngineInfo
     completed: bool = False
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclass(frozen=True)
-class HeldClaim:
+class StoredClaim:
     """A claim and the revision of its key, which the next swap must expect."""
 
     key: str
@@ -80,7 +80,7 @@
     """
 
     owned: bool
-    claim: HeldClaim
+    claim: StoredClaim
 
 
 class ClaimStoreUnavailable(Exception):
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True)
 class _Completion:
-    claim: HeldClaim
+    claim: StoredClaim
     record: ClaimRecord
 
 
@@ -138,7 +138,7 @@
         self._stopping.set()
         return self._completions.unfinished_tasks
 
-    def read(self, key: str) -> HeldClaim | None:
+    def read(self, key: str) -> StoredClaim | None:
         """Return the stored claim, ``None`` if there is none.
 
         :raises ClaimStoreUnavailable: if the key-value service does not respond.
@@ -172,15 +172,15 @@
                 time.sleep(_RETRY_SECONDS)
                 continue
             if result.succeeded:
-                return ClaimOutcome(True, HeldClaim(key, record, result.revision))
+                return ClaimOutcome(True, StoredClaim(key, record, result.revision))
             if result.conflicting:
                 entry = result.conflicting[0]
-                held = _decode_claim(key, entry.value, entry.mod_revision)
-                return ClaimOutcome(held.record.attempt_id == record.attempt_id, held)
+                stored = _decode_claim(key, entry.value, entry.mod_revision)
+                return ClaimOutcome(stored.record.attempt_id == record.attempt_id, stored)
             # The lease of the claim to take over has expired; create a new claim.
             expected_revision = 0
 
-    def complete(self, claim: HeldClaim, response: KeptAnswer) -> None:
+    def complete(self, claim: StoredClaim, response: StoredResponse) -> None:
         """Store the response of a finished attempt in the background, retrying failed writes."""
         stored = response if len(response.text.encode()) <= MAX_STORED_RESPONSE_BYTES else None
         record = msgspec.structs.replace(claim.record, completed=True, answer=stored)
@@ -243,5 +243,5 @@
             self._completions.put(completion)
 
 
-def _decode_claim(key: str, value: bytes, mod_revision: int) -> HeldClaim:
-    return HeldClaim(key, msgspec.json.decode(value, type=ClaimRecord), mod_revision)
+def _decode_claim(key: str, value: bytes, mod_revision: int) -> StoredClaim:
+    return StoredClaim(key, msgspec.json.decode(value, type=ClaimRecord), mod_revision)
--- a/src/wheelslip/keyvalue/client.py
+++ b/src/wheelslip/keyvalue/client.py
@@ -107,7 +107,7 @@
         """
         return int(self._post("/v3/lease/grant", {"TTL": seconds})["ID"])
 
-    def keep_lease(self, lease: int) -> bool:
+    def renew_lease(self, lease: int) -> bool:
         """Renew a lease.
 
         :return: ``False`` if the lease has expired.
--- a/src/wheelslip/keyvalue/lease.py
+++ b/src/wheelslip/keyvalue/lease.py
@@ -54,7 +54,7 @@
     def _renew(self, called_at: float) -> None:
         if self._valid_until - called_at > self._seconds / 2:
             return
-        if not self._client.keep_lease(self._lease):
+        if not self._client.renew_lease(self._lease):
             self._token = 0
             raise LeaseNotHeld(f"{self._key}: expired")
         self._valid_until = called_at + self._seconds
--- a/src/wheelslip/platform/store.py
+++ b/src/wheelslip/platform/store.py
@@ -28,7 +28,7 @@
     WatchCompacted,
 )
 
-CALL_SECONDS = 1.5
+CALL_TIMEOUT_SECONDS = 1.5
 """Timeout of a call other than a watch."""
 
 WATCH_TIMEOUT_MARGIN_SECONDS = 0.7
@@ -92,7 +92,7 @@
         while True:
             query = f"?path_prefix={quote(prefix, safe='')}"
             query += f"&after={quote(after, safe='')}" if after else ""
-            body = await self._read(f"/kv-range{query}", CALL_SECONDS)
+            body = await self._read(f"/kv-range{query}", CALL_TIMEOUT_SECONDS)
             page = _decode(body, _Page)
             # The pages are not one snapshot: watches must start at the revision of the first.
             revision = page.at if revision is None else revision
@@ -142,7 +142,7 @@
         _check_status(status)
         return _decode(body, _GrantedLease).lease
 
-    async def keep_lease(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease and return ``False`` if it has expired (`POST /kv-keep/ID`)."""
         status, _ = await self._call("POST", f"/kv-keep/{lease}", None)
         if status == 404:
@@ -150,7 +150,7 @@
         _check_status(status)
         return True
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which removes its keys (`DELETE /kv-lease-end/ID`)."""
         await self._call("DELETE", f"/kv-lease-end/{lease}", None)
 
@@ -166,7 +166,7 @@
 
     async def _call(self, method: str, target: str, document: object) -> tuple[int, bytes]:
         body = b"" if document is None else msgspec.json.encode(document)
-        return await self._exchange(method, target, body, CALL_SECONDS)
+        return await self._exchange(method, target, body, CALL_TIMEOUT_SECONDS)
 
     async def _exchange(
         self, method: str, target: str, body: bytes, timeout_seconds: float
--- a/src/wheelslip/weights/schedule.py
+++ b/src/wheelslip/weights/schedule.py
@@ -26,7 +26,7 @@
 class WorkerWeights:
     """Weights version of a model at a worker, and whether the worker can be ordered to load.
 
-    :ivar due: time from which no request may start on the version; ``None`` if it is the
+    :ivar deadline: time from which no request may start on the version; ``None`` if it is the
         newest.
     :ivar loading: whether a load is in progress.
     :ivar running: number of requests at the worker.
@@ -35,7 +35,7 @@
 
     id: str
     version: int
-    due: float | None
+    deadline: float | None
     loading: bool
     running: int = 0
     paused: bool = False
@@ -50,12 +50,12 @@
     :param has_backlog: whether the workers have too large a prefill backlog to take one out of
         service. Loads are then deferred as long as the deadline allows.
     """
-    outdated = [worker for worker in workers if worker.due is not None]
+    outdated = [worker for worker in workers if worker.deadline is not None]
     preferred = math.ceil(len(workers) * PREFERRED_LOADING_FRACTION)
     maximum = max(1, int(len(workers) * MAX_LOADING_FRACTION))
     if not outdated:
         return preferred
-    seconds_left = min(worker.due for worker in outdated) - SAFETY_MARGIN_SECONDS - now
+    seconds_left = min(worker.deadline for worker in outdated) - SAFETY_MARGIN_SECONDS - now
     waves = math.ceil(len(outdated) / preferred)
     if has_backlog and seconds_left > waves * load_seconds:
         return 0
@@ -75,7 +75,7 @@
     waiting = [
         worker
         for worker in workers
-        if worker.due is not None and not worker.loading and not worker.paused
+        if worker.deadline is not None and not worker.loading and not worker.paused
     ]
-    waiting.sort(key=lambda worker: (worker.due, worker.running, worker.id))
+    waiting.sort(key=lambda worker: (worker.deadline, worker.running, worker.id))
     return [worker.id for worker in waiting[: max(0, free_slots)]]
--- a/tests/unit/forwarding/test_holder.py
+++ b/tests/unit/forwarding/test_holder.py
@@ -31,7 +31,7 @@
     async def transact(self, transaction):
         return TransactionResult(True, 7)
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         return True
 
 
--- a/tests/unit/forwarding/test_lost_renewal.py
+++ b/tests/unit/forwarding/test_lost_renewal.py
@@ -13,7 +13,7 @@
 from wheelslip.forwarding.settings import BoundsSection
 from wheelslip.keyvalue.model import KeyValueOutcomeUnknown, TransactionResult
 from wheelslip.platform.registry import PlatformRegistry
-from wheelslip.platform.store import CALL_SECONDS
+from wheelslip.platform.store import CALL_TIMEOUT_SECONDS
 
 BOUNDS = BoundsSection()
 RESPONSE_SECONDS = 0.7
@@ -40,16 +40,16 @@
     async def transact(self, transaction):
         return TransactionResult(True, 7)
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         self.renewals += 1
         if self.renewals == 2:
-            await asyncio.sleep(CALL_SECONDS)
+            await asyncio.sleep(CALL_TIMEOUT_SECONDS)
             raise KeyValueOutcomeUnknown("no answer")
         if self.renewals == 2 + RENEWALS_AFTER_LOSS:
             self.renewed.set()
         return True
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         pass
 
 
@@ -95,7 +95,7 @@
 class SlowStore(LossyStore):
     """Answers each renewal only after the next one is due."""
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         self.renewals += 1
         number = self.renewals
         await asyncio.sleep(RESPONSE_SECONDS)
--- a/tests/unit/forwarding/test_platform_headers.py
+++ b/tests/unit/forwarding/test_platform_headers.py
@@ -80,7 +80,7 @@
 ]
 
 
-def test_what_only_the_system_sets_is_not_taken_from_a_caller():
+def test_system_headers_of_a_caller_are_not_forwarded():
     minimal = dispatch(tenant=None, cache=None, priority=None, weights_version=None)
     headers = DIALECT.worker_headers(request(SYSTEM_HEADERS), minimal)
     names = [name.lower() for name, _ in headers]
--- a/tests/unit/forwarding/test_schedule.py
+++ b/tests/unit/forwarding/test_schedule.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 9, 12, 24, 60, 120])
-def test_a_rollout_ends_before_the_bound(count):
+def test_rollout_ends_before_the_deadline(count):
     done: set[str] = set()
     loading: dict[str, float] = {}
     now = 0.0
