--- a/src/wheelslip/keyvalue/claims.py
+++ b/src/wheelslip/keyvalue/claims.py
@@ -215,7 +215,7 @@
 
     def _send_batch(self, batch: list[_PendingTransaction]) -> None:
         try:
-            results = self._client.transact_batch([pending.transaction for pending in batch])
+            results = self._client.transact_batch([entry.transaction for entry in batch])
         except KeyValueError as error:
             results = [error] * len(batch)
         for pending, result in zip(batch, results, strict=True):
--- a/src/wheelslip/platform/headers.py
+++ b/src/wheelslip/platform/headers.py
@@ -161,7 +161,7 @@
 def _connection_names(headers: Headers) -> frozenset[bytes]:
     connection_values = [value for name, value in headers if name.lower() == b"connection"]
     return frozenset(
-        token.strip().lower() for value in connection_values for token in value.split(b",")
+        token.strip().lower() for header in connection_values for token in header.split(b",")
     )
 
 
--- a/src/wheelslip/platform/registry.py
+++ b/src/wheelslip/platform/registry.py
@@ -151,7 +151,7 @@
     def decode(
         self, key: str, value: bytes
     ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
-        """Return the record of one key (`op/config`, `op/version/MODEL`, `servers/ID`)."""
+        """Return the record of `op/config`, `op/version/MODEL` or `servers/ID`, else ``None``."""
         try:
             if key == CONFIGURATION_KEY:
                 return _configuration(msgspec.json.decode(value, type=_Configuration))
