--- a/src/wheelslip/forwarding/interface.py
+++ b/src/wheelslip/forwarding/interface.py
@@ -79,10 +79,10 @@
     async def grant_lease(self, seconds: float) -> int:
         """Grant a lease and return its id."""
 
-    async def keep_lease(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired."""
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease and remove its keys."""
 
 
