--- a/src/wheelslip/peers/__init__.py
+++ b/src/wheelslip/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Node to node: membership, replicated records, configuration spread."""
+"""Communication between nodes: membership, replicated records and peer requests."""
--- a/src/wheelslip/peers/connection.py
+++ b/src/wheelslip/peers/connection.py
@@ -1,4 +1,4 @@
-"""One request and one answer over TCP between nodes, as netstrings of JSON."""
+"""Request and reply between nodes over TCP, encoded as netstrings of JSON."""
 
 import contextlib
 import socket
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from wheelslip.events import LogEvent, log_event
-from wheelslip.peers.messages import PeerAnswer, PeerRequest
+from wheelslip.peers.messages import PeerReply, PeerRequest
 from wheelslip.settings import Address
 from wheelslip.wire import FrameError, decode_payload, encode_frame, read_payload
 
@@ -16,12 +16,12 @@
 
 
 class PeerUnreachable(Exception):
-    """A peer did not answer in time or sent what is not an answer."""
+    """Raised when a peer is unreachable, does not reply in time or sends an invalid reply."""
 
 
 @dataclass
 class TrafficCounts:
-    """Control traffic of this node; bytes are payload, without IP, UDP and TCP headers."""
+    """Control traffic counters of a node, in messages and bytes without protocol headers."""
 
     messages_sent: int = 0
     messages_received: int = 0
@@ -29,30 +29,30 @@
     bytes_received: int = 0
 
     def count_sent(self, size: int) -> None:
-        """Count one message sent."""
+        """Count a sent message of ``size`` bytes."""
         self.messages_sent += 1
         self.bytes_sent += size
 
     def count_received(self, size: int) -> None:
-        """Count one message received."""
+        """Count a received message of ``size`` bytes."""
         self.messages_received += 1
         self.bytes_received += size
 
 
 class PeerCaller:
-    """Sends single requests to peers.
+    """Sends requests to peers, with one connection for each.
 
-    :param source_host: own IP number, so that the peer's side sees where it comes from.
+    :param source_host: local IP address from which connections are made.
     """
 
     def __init__(self, source_host: str, traffic: TrafficCounts):
         self._source_host = source_host
         self._traffic = traffic
 
-    def call(self, address: str, request: PeerRequest, timeout_seconds: float) -> PeerAnswer:
-        """Send one request to a peer and return its answer.
+    def call(self, address: str, request: PeerRequest, timeout_seconds: float) -> PeerReply:
+        """Send a request to a peer and return its reply.
 
-        :raises PeerUnreachable: when no answer comes in time.
+        :raises PeerUnreachable: if the connection fails, or no valid reply arrives in time.
         """
         target = Address.parse(address)
         frame = encode_frame(request)
@@ -64,18 +64,21 @@
                 self._traffic.count_sent(len(frame))
                 payload = read_payload(connection)
                 self._traffic.count_received(len(payload))
-                return decode_payload(payload, PeerAnswer)
+                return decode_payload(payload, PeerReply)
         except (OSError, FrameError) as error:
             raise PeerUnreachable(f"{address}: {error}") from error
 
 
 class PeerServer:
-    """Accepts peers' requests; each is answered by ``handler`` in a thread of its own."""
+    """Accepts requests from peers and serves each in a thread of its own.
+
+    :param handler: returns the reply to a request.
+    """
 
     def __init__(
         self,
         address: str,
-        handler: Callable[[PeerRequest], PeerAnswer],
+        handler: Callable[[PeerRequest], PeerReply],
         traffic: TrafficCounts,
     ):
         listen = Address.parse(address)
@@ -87,11 +90,11 @@
         self._thread = threading.Thread(target=self._accept, name="peer-server", daemon=True)
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting."""
+        """Stop accepting connections."""
         self._stopping.set()
         self._thread.join()
         self._listener.close()
--- a/src/wheelslip/peers/membership.py
+++ b/src/wheelslip/peers/membership.py
@@ -1,9 +1,12 @@
-"""Membership as pure code: heartbeats, suspicion, incarnations, rumours.
+"""SWIM-style membership protocol, implemented without I/O.
 
-Each period a member pings one other, in shuffled order. Without an answer it asks three
-others to try; without any it spreads a suspicion. The suspect refutes with a higher
-incarnation or is declared dead after the suspicion time. Records of engines travel in the
-same table. No I/O: :meth:`Membership.tick` and :meth:`Membership.receive` return effects.
+In each period a member pings one other member, in shuffled order. When the ping is not
+acknowledged in time, several other members are requested to ping the target; when no
+acknowledgement arrives, the target is marked as suspect. A suspect member refutes the
+suspicion by publishing a higher incarnation, otherwise it is declared dead after the suspicion
+timeout. Records of engines are replicated in the same table as the members.
+
+:meth:`Membership.tick` and :meth:`Membership.receive` return effects for the caller to apply.
 """
 
 import math
@@ -19,7 +22,7 @@
     RecordChanged,
     RevisionSeen,
     Send,
-    SyncWanted,
+    SyncNeeded,
 )
 from wheelslip.peers.messages import (
     Ack,
@@ -34,21 +37,37 @@
 )
 from wheelslip.peers.table import ReplicatedTable
 
-MAX_RUMOUR_BYTES = 900
-"""Rumour bytes in one datagram, so that it stays under a common path MTU."""
+MAX_PIGGYBACK_BYTES = 900
+"""Bytes of piggybacked records in one datagram; keeps it below the usual path MTU."""
 
-MAX_ANNOUNCED = 8
-"""Records in one announcement."""
+MAX_RECORDS_PER_ANNOUNCEMENT = 8
+"""Records in one announcement datagram."""
 
-MAX_PENDING_NEWS = 64
-"""News kept for further announcements; the rest travels as rumours and by table exchange."""
+MAX_PENDING_ANNOUNCEMENTS = 64
+"""Records queued for announcement; others spread by piggybacking and table synchronization."""
 
-_SUSPICION_ROUNDS = 5
+_BASE_GOSSIP_ROUNDS = 5
+"""Gossip rounds covered by ``suspicion_seconds``; larger clusters get proportionally longer."""
 
 
 @dataclass(frozen=True)
 class MembershipOptions:
-    """Times in seconds, and how many members a step involves."""
+    """Timeouts, intervals and fan-outs of the membership protocol.
+
+    :ivar period_seconds: mean interval between probes, and time until a probe fails.
+    :ivar direct_timeout_seconds: time without an acknowledgement until indirect probes are sent.
+    :ivar suspicion_seconds: time for a suspect to refute, before scaling by cluster size.
+    :ivar sync_interval_seconds: mean minimum interval between table synchronizations.
+    :ivar sync_quiet_seconds: time without table changes before a synchronization.
+    :ivar sync_overdue_seconds: delay after which a synchronization starts despite changes.
+    :ivar dead_retention_seconds: time until dead and departed members are removed.
+    :ivar reconnect_periods: periods between pings of a seed or an unavailable member.
+    :ivar indirect_probes: members requested to ping an unresponsive target.
+    :ivar announce_fanout: members that receive each announcement.
+    :ivar announce_interval_seconds: minimum interval between announcements.
+    :ivar tick_seconds: expected interval between calls of :meth:`Membership.tick`.
+    :ivar late_tick_seconds: delay of a tick above which pending timeouts are extended.
+    """
 
     period_seconds: float = 1.0
     direct_timeout_seconds: float = 0.4
@@ -56,8 +75,8 @@
     sync_interval_seconds: float = 5.0
     sync_quiet_seconds: float = 0.5
     sync_overdue_seconds: float = 10.0
-    forget_dead_seconds: float = 600.0
-    retry_dead_periods: int = 5
+    dead_retention_seconds: float = 600.0
+    reconnect_periods: int = 5
     indirect_probes: int = 3
     announce_fanout: int = 3
     announce_interval_seconds: float = 0.4
@@ -67,6 +86,8 @@
 
 @dataclass
 class _Probe:
+    """The outstanding ping of the current period."""
+
     target: MemberInfo
     sequence: int
     sent_at: float
@@ -74,15 +95,22 @@
 
 
 @dataclass(frozen=True)
-class _Relay:
-    """An indirect ping made for somebody else."""
+class _RelayedPing:
+    """A ping sent on behalf of another member."""
 
-    asker: str
-    asker_sequence: int
+    requester_address: str
+    requester_sequence: int
 
 
 class Membership:
-    """One member's state. Not thread-safe: one task owns it."""
+    """Protocol state of one member.
+
+    Not thread-safe.
+
+    :param member: the local member.
+    :param incarnation: initial incarnation of the local member.
+    :ivar revision: configuration revision reported to other members.
+    """
 
     def __init__(
         self,
@@ -91,7 +119,7 @@
         options: MembershipOptions,
         random_source: random.Random,
     ):
-        self._me = member
+        self._local_member = member
         self._incarnation = incarnation
         self._options = options
         self._random = random_source
@@ -101,79 +129,82 @@
         self._dead_at: dict[str, float] = {}
         self._probe: _Probe | None = None
         self._probe_order: list[str] = []
-        self._relays: dict[int, _Relay] = {}
+        self._relayed_pings: dict[int, _RelayedPing] = {}
         self._sequence = 0
         self._next_period = 0.0
         self._periods = 0
         self._next_sync = 0.0
         self._next_announce = 0.0
-        self._ticked_at = float("inf")
-        self._changed_at = float("-inf")
-        self._hot: list[Record] = []
+        self._last_tick_at = float("inf")
+        self._table_changed_at = float("-inf")
+        self._pending_announcements: list[Record] = []
         self._seeds: tuple[str, ...] = ()
         self._tables_differ = True
         self.revision = 0
-        self._write_myself(MemberState.ALIVE)
+        self._write_local_member(MemberState.ALIVE)
 
     @property
     def name(self) -> str:
-        """This member's name."""
-        return self._me.name
+        """Name of the local member."""
+        return self._local_member.name
 
     @property
-    def records_digest(self) -> int:
-        """Digest of the whole table."""
+    def table_digest(self) -> int:
+        """Digest of all records in the table."""
         return self._table.digest
 
     def live_members(self) -> list[MemberInfo]:
-        """Return the members believed to live, this one included."""
+        """Return all alive and suspect members, including the local one."""
         live = (MemberState.ALIVE, MemberState.SUSPECT)
         return [member for member in self._members.values() if member.state in live]
 
     def all_members(self) -> list[MemberInfo]:
-        """Return every member still remembered."""
+        """Return all members, including dead and departed ones until their removal."""
         return list(self._members.values())
 
     def records(self, prefix: str) -> list[Record]:
-        """Return replicated records by key prefix."""
+        """Return the replicated records whose key starts with ``prefix``."""
         return self._table.with_prefix(prefix)
 
     def table_records(self) -> tuple[Record, ...]:
-        """Return the whole table, for a sync."""
+        """Return all records, for a table synchronization."""
         return self._table.records()
 
     def newer_records(self, records: tuple[Record, ...]) -> tuple[Record, ...]:
-        """Return what this member knows better than ``records``."""
-        return self._table.newer_than(records)
+        """Return the local records that are newer than, or missing from, ``records``."""
+        return self._table.records_newer_than(records)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Set addresses to try while no member is known, and now and then after."""
-        self._seeds = tuple(seed for seed in seeds if seed != self._me.address)
+        """Set the addresses used to join the cluster.
+
+        They are pinged while no other member is live, and periodically afterwards.
+        """
+        self._seeds = tuple(seed for seed in seeds if seed != self._local_member.address)
 
     def publish(self, key: str, value: object) -> list[Effect]:
-        """Write a record and spread it at once."""
+        """Write a record and queue it for announcement."""
         record = self._table.write(key, value, len(self._members))
-        self._hot.append(record)
+        self._pending_announcements.append(record)
         return [RecordChanged(record)]
 
     def leave(self, now: float) -> list[Effect]:
-        """Tell others that this member stops by plan."""
-        self._write_myself(MemberState.LEFT)
-        self._hot.append(self._table.get(MEMBER_PREFIX + self.name))
+        """Mark the local member as departed and announce it."""
+        self._write_local_member(MemberState.LEFT)
+        self._pending_announcements.append(self._table.get(MEMBER_PREFIX + self.name))
         return self._announce(self._options.announce_fanout * 2)
 
     def announce_revision(self, revision: int) -> list[Effect]:
-        """Tell a few members of a new configuration revision."""
+        """Announce a new configuration revision to a few members."""
         self.revision = revision
         return self._announce(self._options.announce_fanout)
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due."""
+        """Run the timers and return the resulting effects."""
         effects: list[Effect] = []
-        self._allow_for_own_delay(now)
+        self._compensate_late_tick(now)
         effects += self._check_probe(now)
         effects += self._check_suspicions(now)
-        if self._hot and now >= self._next_announce:
+        if self._pending_announcements and now >= self._next_announce:
             self._next_announce = now + self._options.announce_interval_seconds
             effects += self._announce(self._options.announce_fanout)
         if now >= self._next_period:
@@ -181,45 +212,45 @@
         return effects
 
     def merge(self, records: tuple[Record, ...], now: float) -> list[Effect]:
-        """Take records from a peer."""
+        """Merge records received from a peer."""
         effects: list[Effect] = []
         for record in records:
             if record.key == MEMBER_PREFIX + self.name:
                 self._refute(record)
             elif self._table.merge(record, len(self._members)):
-                self._changed_at = now
-                # News is passed on at once, and only by those to whom it was news.
-                self._hot.append(record)
+                self._table_changed_at = now
+                # Only records that changed the table are announced again, so gossip ends.
+                self._pending_announcements.append(record)
                 effects += self._record_changed(record, now)
         return effects
 
     def receive(self, message: MembershipMessage, now: float) -> list[Effect]:
-        """Take one datagram."""
+        """Process one received message."""
         effects: list[Effect] = []
         if not isinstance(message, IndirectPing):
             effects += self.merge(message.records, now)
-        effects += self._compare_headers(message.header, now)
+        effects += self._compare_header(message.header, now)
         if isinstance(message, Ping):
             effects.append(Send(message.header.address, self._ack(message)))
         elif isinstance(message, Ack):
-            effects += self._receive_ack(message)
+            effects += self._handle_ack(message)
         elif isinstance(message, IndirectPing):
             effects.append(self._relay_ping(message))
         return effects
 
-    def _allow_for_own_delay(self, now: float) -> None:
-        """Blame nobody for what this member missed while it was itself held up.
+    def _compensate_late_tick(self, now: float) -> None:
+        """Drop the probe and extend suspicions when this tick is late.
 
-        A paused or overloaded member finds answers late because it reads them late; without
-        this it would declare the others dead, and their refutations would load it further.
+        A paused or overloaded process reads acknowledgements late. Without this adjustment it
+        would declare live members dead, and their refutations would add to its load.
         """
-        late = now - self._ticked_at - self._options.tick_seconds
-        self._ticked_at = now
-        if late < self._options.late_tick_seconds:
+        delay = now - self._last_tick_at - self._options.tick_seconds
+        self._last_tick_at = now
+        if delay < self._options.late_tick_seconds:
             return
         self._probe = None
         for name in self._suspected_at:
-            self._suspected_at[name] += late
+            self._suspected_at[name] += delay
 
     def _begin_period(self, now: float) -> list[Effect]:
         jitter = self._random.uniform(0.9, 1.1)
@@ -231,8 +262,8 @@
             self._sequence += 1
             self._probe = _Probe(target, self._sequence, now)
             effects.append(Send(target.address, self._ping(self._sequence, target.name)))
-        if target is None or self._periods % self._options.retry_dead_periods == 0:
-            effects += self._try_lost(now)
+        if target is None or self._periods % self._options.reconnect_periods == 0:
+            effects += self._ping_unreachable(now)
         return effects
 
     def _next_target(self) -> MemberInfo | None:
@@ -247,11 +278,14 @@
             if member is not None and member.state in (MemberState.ALIVE, MemberState.SUSPECT):
                 return member
 
-    def _try_lost(self, now: float) -> list[Effect]:
-        """Ping a seed or a dead member: this heals a partition and finds late starters."""
-        known = {member.address for member in self.live_members()}
-        lost = [member.address for member in self._members.values()]
-        candidates = [one for one in {*lost, *self._seeds} if one not in known]
+    def _ping_unreachable(self, now: float) -> list[Effect]:
+        """Ping the address of a random seed or member that is not live.
+
+        This reunites partitions and discovers seeds that start later.
+        """
+        live = {member.address for member in self.live_members()}
+        all_addresses = [member.address for member in self._members.values()]
+        candidates = [addr for addr in {*all_addresses, *self._seeds} if addr not in live]
         if not candidates:
             return []
         self._sequence += 1
@@ -279,36 +313,36 @@
         return self._declare(member, MemberState.SUSPECT, now)
 
     def _suspicion_seconds(self) -> float:
-        """Return the time to refute: news takes longer through more members."""
-        rounds = math.log2(len(self._members) + 1) / _SUSPICION_ROUNDS
-        return self._options.suspicion_seconds * max(1.0, rounds)
+        """Return the time to refute a suspicion, which grows with the number of members."""
+        scale = math.log2(len(self._members) + 1) / _BASE_GOSSIP_ROUNDS
+        return self._options.suspicion_seconds * max(1.0, scale)
 
     def _check_suspicions(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for name, since in list(self._suspected_at.items()):
-            if now - since >= self._suspicion_seconds():
+        for name, suspected_at in list(self._suspected_at.items()):
+            if now - suspected_at >= self._suspicion_seconds():
                 effects += self._declare(self._members[name], MemberState.DEAD, now)
-        for name, since in list(self._dead_at.items()):
-            if now - since >= self._options.forget_dead_seconds:
+        for name, dead_at in list(self._dead_at.items()):
+            if now - dead_at >= self._options.dead_retention_seconds:
                 del self._dead_at[name]
                 del self._members[name]
                 self._table.remove(MEMBER_PREFIX + name)
         return effects
 
     def _declare(self, member: MemberInfo, state: MemberState, now: float) -> list[Effect]:
-        """Write another member's suspicion or death at its present incarnation."""
+        """Record a new state of another member at its current incarnation."""
         record = self._table.get(MEMBER_PREFIX + member.name)
         incarnation = incarnation_of(record)
         declared = member_record(msgspec.structs.replace(member, state=state), incarnation)
         self._table.merge(declared, len(self._members))
-        self._hot.append(declared)
+        self._pending_announcements.append(declared)
         return self._record_changed(declared, now)
 
     def _record_changed(self, record: Record, now: float) -> list[Effect]:
         if not record.key.startswith(MEMBER_PREFIX):
             return [RecordChanged(record)]
         member = msgspec.json.decode(record.value, type=MemberInfo)
-        before = self._members.get(member.name)
+        previous = self._members.get(member.name)
         self._members[member.name] = member
         self._suspected_at.pop(member.name, None)
         self._dead_at.pop(member.name, None)
@@ -316,77 +350,79 @@
             self._suspected_at[member.name] = now
         elif member.state in (MemberState.DEAD, MemberState.LEFT):
             self._dead_at[member.name] = now
-        if before is None or before.state is not member.state:
+        if previous is None or previous.state is not member.state:
             return [MemberChanged(member)]
         return []
 
     def _refute(self, record: Record) -> None:
-        """Answer what others believe of this member with a higher incarnation."""
-        mine = self._table.get(record.key)
-        if not record.newer_than(mine):
+        """Override a newer record of the local member with a higher incarnation."""
+        current = self._table.get(record.key)
+        if not record.newer_than(current):
             return
         self._incarnation = incarnation_of(record) + 1
-        self._write_myself(self._me.state)
-        self._hot.append(self._table.get(record.key))
+        self._write_local_member(self._local_member.state)
+        self._pending_announcements.append(self._table.get(record.key))
 
-    def _write_myself(self, state: MemberState) -> None:
-        self._me = msgspec.structs.replace(self._me, state=state)
-        self._members[self.name] = self._me
-        record = member_record(self._me, self._incarnation)
+    def _write_local_member(self, state: MemberState) -> None:
+        self._local_member = msgspec.structs.replace(self._local_member, state=state)
+        self._members[self.name] = self._local_member
+        record = member_record(self._local_member, self._incarnation)
         self._table.merge(record, len(self._members))
 
-    def _compare_headers(self, header: Header, now: float) -> list[Effect]:
+    def _compare_header(self, header: Header, now: float) -> list[Effect]:
         effects: list[Effect] = []
         self._tables_differ = header.digest != self._table.digest
         if header.revision > self.revision:
             effects.append(RevisionSeen(header.address, header.revision))
-        # While news is still coming in, tables differ anyway: exchanging whole tables then
-        # would make a herd of starting nodes do nothing else.
-        quiet = now - self._changed_at >= self._options.sync_quiet_seconds
+        # Tables differ while records are still spreading. Waiting for a quiet interval keeps
+        # simultaneously starting nodes from exchanging whole tables continuously.
+        quiet = now - self._table_changed_at >= self._options.sync_quiet_seconds
         overdue = now - self._next_sync >= self._options.sync_overdue_seconds
         if self._tables_differ and now >= self._next_sync and (quiet or overdue):
             interval = self._options.sync_interval_seconds * self._random.uniform(0.75, 1.25)
             self._next_sync = now + interval
-            effects.append(SyncWanted(header.address))
+            effects.append(SyncNeeded(header.address))
         return effects
 
     def _ack(self, ping: Ping) -> Ack:
-        return Ack(self._header(), ping.sequence, self._rumours_for(ping.header.name))
+        return Ack(self._header(), ping.sequence, self._piggybacked_records(ping.header.name))
 
-    def _receive_ack(self, ack: Ack) -> list[Effect]:
-        relay = self._relays.pop(ack.sequence, None)
-        if relay is not None:
-            return [Send(relay.asker, Ack(ack.header, relay.asker_sequence))]
+    def _handle_ack(self, ack: Ack) -> list[Effect]:
+        relayed = self._relayed_pings.pop(ack.sequence, None)
+        if relayed is not None:
+            return [Send(relayed.requester_address, Ack(ack.header, relayed.requester_sequence))]
         if self._probe is not None and ack.sequence == self._probe.sequence:
             self._probe = None
         return []
 
     def _relay_ping(self, request: IndirectPing) -> Send:
         self._sequence += 1
-        self._relays[self._sequence] = _Relay(request.header.address, request.sequence)
-        if len(self._relays) > 64:
-            del self._relays[next(iter(self._relays))]
+        self._relayed_pings[self._sequence] = _RelayedPing(request.header.address, request.sequence)
+        if len(self._relayed_pings) > 64:
+            del self._relayed_pings[next(iter(self._relayed_pings))]
         return Send(request.target, Ping(self._header(), self._sequence))
 
     def _ping(self, sequence: int, target: str | None) -> Ping:
-        return Ping(self._header(), sequence, self._rumours_for(target))
-
-    def _rumours_for(self, name: str | None) -> tuple[Record, ...]:
-        # Peers whose tables agree have nothing to tell each other; this keeps an idle
-        # system's datagrams at some hundred bytes.
-        rumours = self._table.rumours(MAX_RUMOUR_BYTES) if self._tables_differ else ()
-        about = self._table.get(MEMBER_PREFIX + name) if name else None
-        if about is None or about in rumours:
-            return rumours
-        if self._members[name].state is MemberState.ALIVE:
-            return rumours
-        # Whoever is believed suspect or dead must hear of it, or it cannot refute.
-        return (*rumours, about)
+        return Ping(self._header(), sequence, self._piggybacked_records(target))
+
+    def _piggybacked_records(self, receiver: str | None) -> tuple[Record, ...]:
+        # No records are sent while the tables agree, which keeps datagrams of an idle cluster
+        # small.
+        gossip = self._table.next_gossip(MAX_PIGGYBACK_BYTES) if self._tables_differ else ()
+        receiver_record = self._table.get(MEMBER_PREFIX + receiver) if receiver else None
+        if receiver_record is None or receiver_record in gossip:
+            return gossip
+        if self._members[receiver].state is MemberState.ALIVE:
+            return gossip
+        # A suspect or dead member must receive its own record to be able to refute it.
+        return (*gossip, receiver_record)
 
     def _announce(self, fanout: int) -> list[Effect]:
-        hot = tuple(self._hot[:MAX_ANNOUNCED])
-        self._hot = self._hot[MAX_ANNOUNCED:][:MAX_PENDING_NEWS]
-        message = Announce(self._header(), hot)
+        records = tuple(self._pending_announcements[:MAX_RECORDS_PER_ANNOUNCEMENT])
+        self._pending_announcements = self._pending_announcements[MAX_RECORDS_PER_ANNOUNCEMENT:][
+            :MAX_PENDING_ANNOUNCEMENTS
+        ]
+        message = Announce(self._header(), records)
         return [Send(member.address, message) for member in self._random_members(fanout, set())]
 
     def _random_members(self, count: int, excluded: set[str]) -> list[MemberInfo]:
@@ -399,4 +435,4 @@
         return self._random.sample(candidates, min(count, len(candidates)))
 
     def _header(self) -> Header:
-        return Header(self.name, self._me.address, self.revision, self._table.digest)
+        return Header(self.name, self._local_member.address, self.revision, self._table.digest)
--- a/src/wheelslip/peers/membership_effects.py
+++ b/src/wheelslip/peers/membership_effects.py
@@ -1,4 +1,4 @@
-"""What :class:`wheelslip.peers.membership.Membership` asks its task to carry out."""
+"""Effects that :class:`wheelslip.peers.membership.Membership` returns to its task."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a datagram."""
+    """Send a message as one datagram."""
 
     address: str
     message: MembershipMessage
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class RevisionSeen:
-    """A peer holds a higher configuration revision than this node."""
+    """A peer reported a higher configuration revision than that of the local node."""
 
     address: str
     revision: int
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True)
 class RecordChanged:
-    """A record was replaced by a newer one, written here or by a peer."""
+    """A record was added or replaced, by a local write or by a peer."""
 
     record: Record
 
 
 @dataclass(frozen=True)
 class MemberChanged:
-    """A member's state changed, as this node believes it."""
+    """A member was added or its state changed in the local table."""
 
     member: MemberInfo
 
 
 @dataclass(frozen=True)
-class SyncWanted:
-    """Tables differ: exchange them with the peer at this address."""
+class SyncNeeded:
+    """Synchronize tables with the peer at this address, whose digest differs."""
 
     address: str
 
 
-Effect = Send | RevisionSeen | RecordChanged | MemberChanged | SyncWanted
+Effect = Send | RevisionSeen | RecordChanged | MemberChanged | SyncNeeded
--- a/src/wheelslip/peers/messages.py
+++ b/src/wheelslip/peers/messages.py
@@ -1,4 +1,7 @@
-"""Messages between nodes. Arrays on the wire keep control traffic small."""
+"""Messages between nodes.
+
+Datagrams are encoded as arrays to keep control traffic small.
+"""
 
 import enum
 
@@ -9,7 +12,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What the members believe of one of them."""
+    """State of a member in the replicated table."""
 
     ALIVE = "a"
     SUSPECT = "s"
@@ -18,7 +21,11 @@
 
 
 class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
-    """One node as the others know it."""
+    """A node as replicated among the members.
+
+    :ivar address: advertised address for datagrams and peer requests.
+    :ivar operators: address of the operator API.
+    """
 
     name: str
     zone: str
@@ -29,7 +36,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One replicated record; the higher version wins, then the greater value."""
+    """A replicated record; the higher version wins, and the greater value among equal versions."""
 
     key: str
     version: int
@@ -43,10 +50,10 @@
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """What every datagram carries about its sender.
+    """Information about the sender, included in every membership datagram.
 
-    :param revision: configuration revision held by the sender.
-    :param digest: digest of the sender's whole table, to find missed records.
+    :ivar revision: configuration revision of the sender.
+    :ivar digest: digest of the sender's table, used to detect missing records.
     """
 
     name: str
@@ -56,7 +63,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Asks whether the receiver lives."""
+    """Requests an acknowledgement from the receiver."""
 
     header: Header
     sequence: int
@@ -64,7 +71,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """Answers a ping."""
+    """Acknowledges a ping."""
 
     header: Header
     sequence: int
@@ -72,7 +79,7 @@
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """Asks the receiver to ping ``target`` and to pass the answer on."""
+    """Requests the receiver to ping the address ``target`` and to forward the acknowledgement."""
 
     header: Header
     sequence: int
@@ -80,16 +87,17 @@
 
 
 class Announce(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """Spreads news at once; needs no answer."""
+    """Announces records or a new revision; not acknowledged."""
 
     header: Header
     records: tuple[Record, ...] = ()
 
 
-class PrefixAsk(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Asks a prefix's home node what it knows, and says what the asker plans.
+class PrefixLookup(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+    """Requests hints from the home node of a prefix and reports the sender's plan.
 
-    :param address: of the asker, for the answer.
+    :ivar address: address of the sender, to which the reply is sent.
+    :ivar head: key that identifies the prefix and selects its home node.
     """
 
     address: str
@@ -97,45 +105,48 @@
     plan: PrefixPlan
 
 
-class PrefixAnswer(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """Answers :class:`PrefixAsk`."""
+class PrefixReply(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+    """Reply to :class:`PrefixLookup`."""
 
     head: int
     hints: tuple[PrefixHint, ...]
 
 
-class PrefixTell(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Tells a prefix's home node where it is computed or in use."""
+class PrefixUpdate(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+    """Reports to the home node of a prefix where it is being computed or was used."""
 
     head: int
     plan: PrefixPlan
 
 
 MembershipMessage = Ping | Ack | IndirectPing | Announce
-PrefixMessage = PrefixAsk | PrefixAnswer | PrefixTell
-Datagram = Ping | Ack | IndirectPing | Announce | PrefixAsk | PrefixAnswer | PrefixTell
+PrefixMessage = PrefixLookup | PrefixReply | PrefixUpdate
+Datagram = Ping | Ack | IndirectPing | Announce | PrefixLookup | PrefixReply | PrefixUpdate
 
 
 class SyncRequest(msgspec.Struct, frozen=True, tag="sync"):
-    """Sends a whole table and asks for what the receiver knows better."""
+    """Sends all records of a table and requests the newer ones of the receiver."""
 
     records: tuple[Record, ...]
 
 
-class SyncAnswer(msgspec.Struct, frozen=True, tag="synced"):
-    """Records that are newer at the answering node."""
+class SyncReply(msgspec.Struct, frozen=True, tag="synced"):
+    """Records that are newer at the replying node."""
 
     records: tuple[Record, ...]
 
 
 class ConfigurationPull(msgspec.Struct, frozen=True, tag="pull"):
-    """Asks for the configuration after revision ``since``."""
+    """Requests the configuration changes after revision ``since``."""
 
     since: int
 
 
-class ConfigurationAnswer(msgspec.Struct, frozen=True, tag="configuration"):
-    """The changes that follow ``since``, or the whole state when they are not kept."""
+class ConfigurationReply(msgspec.Struct, frozen=True, tag="configuration"):
+    """Reply to :class:`ConfigurationPull`.
+
+    Contains the changes that follow ``since``, or the complete state if they are not retained.
+    """
 
     revision: int
     changes: tuple[ConfigurationChange, ...] = ()
@@ -143,17 +154,17 @@
 
 
 class ConfigurationPush(msgspec.Struct, frozen=True, tag="push"):
-    """Hands a whole accepted state on before its sender puts it in force."""
+    """Replicates a complete accepted state before its sender puts it in force."""
 
     state: ConfigurationState
 
 
 class RevisionQuery(msgspec.Struct, frozen=True, tag="revision?"):
-    """Asks for the revision in force."""
+    """Requests the revision in force."""
 
 
-class RevisionAnswer(msgspec.Struct, frozen=True, tag="revision"):
-    """The revision in force at the answering node."""
+class RevisionReply(msgspec.Struct, frozen=True, tag="revision"):
+    """The revision in force at the replying node."""
 
     name: str
     zone: str
@@ -161,4 +172,4 @@
 
 
 PeerRequest = SyncRequest | ConfigurationPull | ConfigurationPush | RevisionQuery
-PeerAnswer = SyncAnswer | ConfigurationAnswer | RevisionAnswer
+PeerReply = SyncReply | ConfigurationReply | RevisionReply
--- a/src/wheelslip/peers/prefix_link.py
+++ b/src/wheelslip/peers/prefix_link.py
@@ -1,11 +1,11 @@
-"""Carries the router's questions and news about prefixes to their home nodes and back."""
+"""Messages between the router and the home nodes of prefixes."""
 
 from wheelslip.peers.messages import (
     MemberInfo,
-    PrefixAnswer,
-    PrefixAsk,
+    PrefixLookup,
     PrefixMessage,
-    PrefixTell,
+    PrefixReply,
+    PrefixUpdate,
 )
 from wheelslip.peers.task import MembershipTask
 from wheelslip.routing import rendezvous
@@ -15,40 +15,44 @@
 
 
 class PrefixLink:
-    """Finds a prefix's home among the nodes of this region and talks to it."""
+    """Selects the home node of a prefix in the local region and exchanges messages with it.
 
-    def __init__(self, me: MemberInfo, membership: MembershipTask):
-        self._me = me
+    :param local_member: the local member.
+    :param membership: provides the live members and sends the messages.
+    """
+
+    def __init__(self, local_member: MemberInfo, membership: MembershipTask):
+        self._local_member = local_member
         self._membership = membership
 
     def home_of(self, head: int) -> str | None:
-        """Return the address of a prefix's home, or ``None`` when it is this node."""
+        """Return the address of the home node of a prefix; ``None`` if it is the local node."""
         members = {
             member.name: member.address
-            for member in self._membership.view.members
-            if member.region == self._me.region
+            for member in self._membership.view.live_members
+            if member.region == self._local_member.region
         }
         name = rendezvous.owner(str(head), members)
-        return None if name in (None, self._me.name) else members[name]
+        return None if name in (None, self._local_member.name) else members[name]
 
     def send(self, address: str, message: AskHome | TellHome) -> None:
-        """Send a question or news."""
+        """Send a lookup or an update to a home node."""
         if isinstance(message, AskHome):
-            ask = PrefixAsk(self._me.address, message.head, message.plan)
-            self._membership.send_prefix(address, ask)
+            lookup = PrefixLookup(self._local_member.address, message.head, message.plan)
+            self._membership.send_prefix_message(address, lookup)
         else:
-            self._membership.send_prefix(address, PrefixTell(message.head, message.plan))
+            self._membership.send_prefix_message(address, PrefixUpdate(message.head, message.plan))
 
     def answer(self, address: str, head: int, hints: tuple[PrefixHint, ...]) -> None:
-        """Send an answer."""
-        self._membership.send_prefix(address, PrefixAnswer(head, hints))
+        """Send the reply to a lookup."""
+        self._membership.send_prefix_message(address, PrefixReply(head, hints))
 
     @staticmethod
     def receive(message: PrefixMessage, router: RouterTask) -> None:
-        """Hand a received message to the router, which owns the registry."""
-        if isinstance(message, PrefixAsk):
+        """Pass a received message to the router, which owns the prefix registry."""
+        if isinstance(message, PrefixLookup):
             router.home_asked(message.address, message.head, message.plan)
-        elif isinstance(message, PrefixAnswer):
+        elif isinstance(message, PrefixReply):
             router.home_answered(message.head, message.hints)
         else:
             router.home_told(message.head, message.plan)
--- a/src/wheelslip/peers/task.py
+++ b/src/wheelslip/peers/task.py
@@ -1,4 +1,4 @@
-"""The membership task: owns the datagram socket and the membership state."""
+"""Thread that runs the membership protocol over UDP."""
 
 import contextlib
 import queue
@@ -20,18 +20,18 @@
     RecordChanged,
     RevisionSeen,
     Send,
-    SyncWanted,
+    SyncNeeded,
 )
 from wheelslip.peers.messages import (
     Datagram,
     MemberInfo,
     MemberState,
-    PrefixAnswer,
-    PrefixAsk,
+    PrefixLookup,
     PrefixMessage,
-    PrefixTell,
+    PrefixReply,
+    PrefixUpdate,
     Record,
-    SyncAnswer,
+    SyncReply,
     SyncRequest,
 )
 from wheelslip.settings import Address
@@ -49,17 +49,21 @@
 }
 
 
-def log_member(member: MemberInfo) -> None:
-    """Log a member's new state."""
+def log_member_state(member: MemberInfo) -> None:
+    """Log the new state of a member."""
     log_event(_MEMBER_EVENTS[member.state], member=member.name, zone=member.zone)
 
 
 @dataclass(frozen=True)
 class MembershipView:
-    """What other tasks see of the membership; replaced whole at each change."""
+    """Immutable snapshot of the membership for other threads.
 
-    members: tuple[MemberInfo, ...] = ()
-    known: tuple[MemberInfo, ...] = ()
+    :ivar live_members: alive and suspect members, ordered by name, including the local one.
+    :ivar all_members: every member of the table, including dead and departed ones.
+    """
+
+    live_members: tuple[MemberInfo, ...] = ()
+    all_members: tuple[MemberInfo, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -81,7 +85,7 @@
 @dataclass(frozen=True)
 class _Sync:
     records: tuple[Record, ...]
-    reply: "queue.SimpleQueue[SyncAnswer]"
+    reply: "queue.SimpleQueue[SyncReply]"
 
 
 @dataclass(frozen=True)
@@ -93,15 +97,17 @@
 
 
 class MembershipTask:
-    """Runs :class:`Membership` over UDP.
+    """Runs :class:`Membership` over UDP in a thread of its own.
+
+    The callbacks are called from this thread.
 
-    :param on_revision: called with a peer's address and the higher revision it holds.
-    :param on_record: called with each record that enters the table, this node's own ones too:
-        a peer's record may enter before an own one that was written earlier, and only the
-        order of the table is the same at all nodes.
+    :param on_revision: called with the address of a peer and its higher revision.
+    :param on_record: called with each record that is added or replaced in the table, including
+        those published locally, in the order in which the table applied them. The versions of
+        a key are therefore reported in increasing order.
     :param on_member: called with each member whose state changed.
     :param on_prefix: called with each message about prefixes.
-    :ivar view: members now, safe to read from any thread.
+    :ivar view: current membership, safe to read from any thread.
     :ivar traffic: control traffic counters.
     """
 
@@ -114,7 +120,7 @@
         on_record: Callable[[Record], None],
         caller: PeerCaller,
         traffic: TrafficCounts,
-        on_member: Callable[[MemberInfo], None] = log_member,
+        on_member: Callable[[MemberInfo], None] = log_member_state,
         on_prefix: Callable[[PrefixMessage], None] = lambda message: None,
         options: MembershipOptions | None = None,
     ):
@@ -138,50 +144,50 @@
         self._refresh_view()
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Tell the others that this node leaves, and end."""
+        """Announce the departure of this node and stop."""
         done = threading.Event()
         self._mailbox.put(_Leave(done))
         done.wait(1.0)
-        self.abandon()
+        self.terminate()
 
-    def abandon(self) -> None:
-        """End without telling the others, as a crash does; for the scale run."""
+    def terminate(self) -> None:
+        """Stop without announcing the departure, as in a crash."""
         self._stopping.set()
         self._thread.join()
         self._socket.close()
 
     def publish(self, key: str, value: object) -> None:
-        """Write a replicated record."""
+        """Write a replicated record asynchronously."""
         self._mailbox.put(_Publish(key, value))
 
     def announce_revision(self, revision: int) -> None:
-        """Tell others of the configuration revision now held."""
+        """Announce the current configuration revision to other members."""
         self._mailbox.put(_AnnounceRevision(revision))
 
-    def answer_sync(self, request: SyncRequest) -> SyncAnswer:
-        """Take a peer's table and return what is known better here."""
-        reply: queue.SimpleQueue[SyncAnswer] = queue.SimpleQueue()
+    def handle_sync(self, request: SyncRequest) -> SyncReply:
+        """Merge the table of a peer and return the records that are newer here."""
+        reply: queue.SimpleQueue[SyncReply] = queue.SimpleQueue()
         self._mailbox.put(_Sync(request.records, reply))
         try:
             return reply.get(timeout=_SYNC_TIMEOUT_SECONDS)
         except queue.Empty:
-            # Too busy to compare tables now; the asker finds the difference again later.
-            return SyncAnswer(())
+            # The thread is busy; a later digest comparison triggers another synchronization.
+            return SyncReply(())
 
     def _run(self) -> None:
         while not self._stopping.is_set():
             now = time.monotonic()
-            self._take_messages(now)
-            self._carry_out(self._membership.tick(now))
+            self._drain_mailbox(now)
+            self._apply_effects(self._membership.tick(now))
             self._receive(now + _TICK_SECONDS)
 
-    def _receive(self, until: float) -> None:
-        """Take datagrams until the next tick is due."""
-        while (remaining := until - time.monotonic()) > 0:
+    def _receive(self, deadline: float) -> None:
+        """Receive and process datagrams up to the time of the next tick."""
+        while (remaining := deadline - time.monotonic()) > 0:
             self._socket.settimeout(remaining)
             try:
                 frame, _ = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
@@ -189,38 +195,38 @@
                 return
             self.traffic.count_received(len(frame))
             try:
-                self._take_datagram(decode_frame(frame, Datagram))
+                self._dispatch_datagram(decode_frame(frame, Datagram))
             except (FrameError, msgspec.MsgspecError) as error:
                 log_event(LogEvent.PEER_MESSAGE_REFUSED, reason=str(error))
 
-    def _take_datagram(self, message: Datagram) -> None:
-        if isinstance(message, PrefixAsk | PrefixAnswer | PrefixTell):
+    def _dispatch_datagram(self, message: Datagram) -> None:
+        if isinstance(message, PrefixLookup | PrefixReply | PrefixUpdate):
             self._on_prefix(message)
         else:
-            self._carry_out(self._membership.receive(message, time.monotonic()))
+            self._apply_effects(self._membership.receive(message, time.monotonic()))
 
-    def _take_messages(self, now: float) -> None:
+    def _drain_mailbox(self, now: float) -> None:
         with contextlib.suppress(queue.Empty):
             while True:
-                self._take(self._mailbox.get_nowait(), now)
+                self._handle_message(self._mailbox.get_nowait(), now)
 
-    def _take(self, message: _Message, now: float) -> None:
+    def _handle_message(self, message: _Message, now: float) -> None:
         membership = self._membership
         if isinstance(message, _Publish):
-            self._carry_out(membership.publish(message.key, message.value))
+            self._apply_effects(membership.publish(message.key, message.value))
         elif isinstance(message, _AnnounceRevision):
-            self._carry_out(membership.announce_revision(message.revision))
+            self._apply_effects(membership.announce_revision(message.revision))
         elif isinstance(message, _Merge):
-            self._carry_out(membership.merge(message.records, now))
+            self._apply_effects(membership.merge(message.records, now))
         elif isinstance(message, _Sync):
-            answer = SyncAnswer(membership.newer_records(message.records))
-            self._carry_out(membership.merge(message.records, now))
-            message.reply.put(answer)
+            reply = SyncReply(membership.newer_records(message.records))
+            self._apply_effects(membership.merge(message.records, now))
+            message.reply.put(reply)
         else:
-            self._carry_out(membership.leave(now))
+            self._apply_effects(membership.leave(now))
             message.done.set()
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(effect)
@@ -230,7 +236,7 @@
                 self._on_record(effect.record)
             elif isinstance(effect, MemberChanged):
                 self._on_member(effect.member)
-            elif isinstance(effect, SyncWanted):
+            elif isinstance(effect, SyncNeeded):
                 self._sync_with(effect.address)
         if any(isinstance(effect, MemberChanged) for effect in effects):
             self._refresh_view()
@@ -239,11 +245,11 @@
         members = sorted(self._membership.live_members(), key=lambda member: member.name)
         self.view = MembershipView(tuple(members), tuple(self._membership.all_members()))
 
-    def send_prefix(self, address: str, message: PrefixMessage) -> None:
-        """Send a prefix message at once, from the calling thread.
+    def send_prefix_message(self, address: str, message: PrefixMessage) -> None:
+        """Send a prefix message immediately, from the calling thread.
 
-        The mailbox would delay it by up to a tick, longer than the answer takes. Sending one
-        datagram is atomic; the socket stays this task's to receive from and to close.
+        The mailbox would delay it by up to one tick. Sending a datagram is atomic; only the
+        membership thread receives from the socket.
         """
         self._send_datagram(address, message)
 
@@ -258,15 +264,15 @@
             self._socket.sendto(frame, (target.host, target.port))
 
     def _sync_with(self, address: str) -> None:
-        """Exchange tables in a short-lived thread, so that heartbeats go on meanwhile."""
+        """Synchronize tables in a short-lived thread, so that pings are not delayed."""
         request = SyncRequest(self._membership.table_records())
 
         def exchange() -> None:
             try:
-                answer = self._caller.call(address, request, _SYNC_TIMEOUT_SECONDS)
+                reply = self._caller.call(address, request, _SYNC_TIMEOUT_SECONDS)
             except PeerUnreachable:
                 return
-            if isinstance(answer, SyncAnswer):
-                self._mailbox.put(_Merge(answer.records))
+            if isinstance(reply, SyncReply):
+                self._mailbox.put(_Merge(reply.records))
 
         threading.Thread(target=exchange, name="table-sync", daemon=True).start()
--- a/tests/probe/test_leaving.py
+++ b/tests/probe/test_leaving.py
@@ -1,4 +1,4 @@
-"""Promise 7: a back end that is leaving gets no new work after a few seconds."""
+"""Tests that an engine that is leaving receives no new requests after a few seconds."""
 
 import threading
 import time
@@ -7,8 +7,8 @@
 
 from tests.probe.callers import chat_body, send
 
-LIMIT_SECONDS = 8.0
-"""Generous bound on a busy machine; docs/MEASUREMENTS.md has the seconds measured."""
+DRAIN_LIMIT_SECONDS = 8.0
+"""Time until all nodes have stopped sending requests to a leaving engine."""
 
 
 def leave_by_machine_list(cluster):
@@ -38,11 +38,11 @@
         leave_by_operator_drain,
     ],
 )
-def test_leaving_engine_gets_no_new_work(make_cluster, leave):
+def test_leaving_engine_gets_no_new_requests(make_cluster, leave):
     cluster = make_cluster(engines=3, nodes=3)
-    incarnation = {one["name"]: one["incarnation"] for one in cluster.status("node-1")["engines"]}[
-        "engine-1"
-    ]
+    incarnation = {
+        engine["name"]: engine["incarnation"] for engine in cluster.status("node-1")["engines"]
+    }["engine-1"]
     stop = threading.Event()
     outcomes = []
 
@@ -60,22 +60,22 @@
     for thread in threads:
         thread.start()
     time.sleep(1.0)
-    before = at_engine(cluster, incarnation)
+    before = count_accepted_runs(cluster, incarnation)
     leave(cluster)
-    left_at = time.monotonic()
-    time.sleep(LIMIT_SECONDS)
-    settled = at_engine(cluster, incarnation)
+    leave_started_at = time.monotonic()
+    time.sleep(DRAIN_LIMIT_SECONDS)
+    after_drain = count_accepted_runs(cluster, incarnation)
     time.sleep(1.5)
     stop.set()
     for thread in threads:
         thread.join(30)
-    assert before > 0 and time.monotonic() - left_at > LIMIT_SECONDS
-    assert at_engine(cluster, incarnation) == settled
+    assert before > 0 and time.monotonic() - leave_started_at > DRAIN_LIMIT_SECONDS
+    assert count_accepted_runs(cluster, incarnation) == after_drain
     assert [outcome for outcome in outcomes if not outcome.whole] == []
     for node in cluster.nodes:
-        states = {one["name"]: one["state"] for one in cluster.status(node)["engines"]}
+        states = {engine["name"]: engine["state"] for engine in cluster.status(node)["engines"]}
         assert states["engine-1"] == "leaving"
 
 
-def at_engine(cluster, incarnation):
+def count_accepted_runs(cluster, incarnation):
     return sum(run["incarnation"] == incarnation for run in cluster.runs("accepted"))
--- a/tests/probe/test_planned_stop.py
+++ b/tests/probe/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Promise 8: a planned stop cuts off no request in progress."""
+"""Tests that a planned stop of a node interrupts no request in progress."""
 
 import itertools
 import threading
@@ -8,7 +8,7 @@
 from tests.probe.judge import assert_at_most_once, assert_own_and_whole
 
 
-def test_streams_waiting_requests_and_claims_finish(make_cluster):
+def test_requests_in_progress_finish_during_a_planned_stop(make_cluster):
     cluster = make_cluster(engines=1, nodes=1, engine_options={"max_batch": 4})
     callers = Callers(cluster)
     for n in range(12):
@@ -21,7 +21,7 @@
     assert sum(outcome.whole for outcome in outcomes) == 12, outcomes
 
 
-def test_stopping_node_fails_readiness_before_it_refuses(make_cluster):
+def test_stopping_node_fails_readiness_before_it_refuses_requests(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
     callers = Callers(cluster)
     callers.start("node-1", tokens=150)
@@ -40,7 +40,7 @@
     assert cluster.processes["node-1"].process.wait(30) == 0
 
 
-def test_rolling_restart_under_load_loses_nothing(make_cluster):
+def test_rolling_restart_under_load_loses_no_request(make_cluster):
     cluster = make_cluster(engines=3, nodes=3)
     stop = threading.Event()
     ready = dict.fromkeys(cluster.nodes, True)
@@ -49,7 +49,7 @@
     outcomes = []
     nonces = []
 
-    def pick():
+    def next_ready_node():
         with lock:
             return next(node for node in nodes if ready[node])
 
@@ -61,14 +61,14 @@
             headers = {"Idempotency-Key": nonce, "X-Deadline-Seconds": "20"}
             model = "notice" if number % 4 == 0 else "lookup"
             nonces.append(nonce)
-            node = pick()
+            node = next_ready_node()
             outcomes.append((node, send(cluster, node, chat_body(nonce, model, 10), headers)))
 
     threads = [threading.Thread(target=load, args=(n,), daemon=True) for n in range(9)]
     for thread in threads:
         thread.start()
     for node in cluster.nodes:
-        # As a load balancer does: no new work once readiness fails, then the stop goes on.
+        # Like a load balancer, send no new requests to a node that is not ready.
         process = cluster.processes[node]
         process.process.terminate()
         ready[node] = False
@@ -83,6 +83,6 @@
     results = [outcome for _, outcome in outcomes]
     assert len(results) > 50
     assert_own_and_whole(results)
-    bad = [(node, one.kind, one.failure) for node, one in outcomes if not one.whole]
-    assert bad == []
+    failed = [(node, result.kind, result.failure) for node, result in outcomes if not result.whole]
+    assert failed == []
     assert_at_most_once(cluster, nonces)
--- a/tests/probe/test_randomised.py
+++ b/tests/probe/test_randomised.py
@@ -1,4 +1,4 @@
-"""A short fixed set of randomised runs; ``make soak SEED=… SECONDS=…`` runs longer."""
+"""Short randomised fault runs with fixed seeds; ``make soak`` runs longer ones."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_seeded_faults_break_no_promise(tmp_path, seed):
+def test_seeded_faults_cause_no_violations(tmp_path, seed):
     history, violations = soak_run(tmp_path / "soak", seed, SECONDS)
     print(report(seed, history, violations))
     assert violations == []
--- a/tests/probe/test_restart.py
+++ b/tests/probe/test_restart.py
@@ -1,4 +1,4 @@
-"""Promise 3: a router that restarts serves requests at once."""
+"""Tests that restarted nodes serve requests regardless of the key-value service."""
 
 import threading
 import time
@@ -27,8 +27,8 @@
     return response.json().get("revision")
 
 
-def first_answer(cluster, node, process):
-    """Return the seconds from process start to the first whole answer."""
+def seconds_to_first_response(cluster, node, process):
+    """Return the seconds from process start to the first complete response."""
     number = 0
 
     def served():
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("key_value", [key_value_up, key_value_slow, key_value_down])
-def test_node_killed_under_load_serves_again_at_once(make_cluster, key_value):
+def test_node_killed_under_load_restarts_without_waiting_for_the_service(make_cluster, key_value):
     cluster = make_cluster(engines=2, nodes=3)
     before = revision(cluster, "node-1")
     stop = threading.Event()
@@ -62,15 +62,15 @@
     process = cluster.processes["node-1"]
     process.kill()
     cluster.start_node("node-1")
-    seconds = first_answer(cluster, "node-1", process)
+    seconds = seconds_to_first_response(cluster, "node-1", process)
     stop.set()
     print(f"first answer {seconds:.2f} s after process start, {key_value.__name__}")
     assert revision(cluster, "node-1") >= before
-    # The slow service answers after 3 s and the silent one never: neither was waited for.
+    # Startup must not wait for responses of the key-value service.
     assert seconds < 15
 
 
-def test_all_nodes_of_a_zone_at_once_without_the_service(make_cluster):
+def test_all_nodes_of_a_zone_restart_while_the_service_is_unreachable(make_cluster):
     cluster = make_cluster(engines=3, nodes=6)
     zone = ["node-1", "node-4"]
     before = max(revision(cluster, node) for node in zone)
@@ -81,11 +81,11 @@
     for node in zone:
         cluster.start_node(node)
     for node in zone:
-        first_answer(cluster, node, cluster.processes[node])
+        seconds_to_first_response(cluster, node, cluster.processes[node])
         assert revision(cluster, node) >= before
 
 
-def test_herd_of_all_nodes_does_not_flatten_the_service(make_cluster):
+def test_simultaneous_restart_of_all_nodes_sends_few_service_requests(make_cluster):
     cluster = make_cluster(engines=2, nodes=6)
     requests_before = cluster.control_key_value({})["requests"]
     for node in cluster.nodes:
@@ -93,6 +93,6 @@
     for node in cluster.nodes:
         cluster.start_node(node)
     for node in cluster.nodes:
-        first_answer(cluster, node, cluster.processes[node])
-    used = cluster.control_key_value({})["requests"] - requests_before
-    assert used < 6 * 10
+        seconds_to_first_response(cluster, node, cluster.processes[node])
+    requests_sent = cluster.control_key_value({})["requests"] - requests_before
+    assert requests_sent < 6 * 10
--- a/tests/unit/test_engine_records.py
+++ b/tests/unit/test_engine_records.py
@@ -1,4 +1,4 @@
-"""Records of engines as nodes spread them: all nodes end with the same one, whoever wrote it and in which order."""
+"""Tests of engine records that several nodes write concurrently."""
 
 import msgspec
 import pytest
@@ -18,12 +18,12 @@
 
 
 @pytest.fixture
-def told():
+def applied_records():
     return []
 
 
 @pytest.fixture
-def task(told):
+def task(applied_records):
     address = f"127.0.0.1:{free_port()}"
     member = MemberInfo("n0", "z0", "r", address, "")
     counts = TrafficCounts()
@@ -32,27 +32,27 @@
         member,
         (),
         lambda *_: None,
-        told.append,
+        applied_records.append,
         PeerCaller("127.0.0.1", counts),
         counts,
     )
     yield task
-    task.abandon()
+    task.terminate()
 
 
-def test_a_peers_record_that_came_first_is_followed_by_the_own_one(task, told):
-    """A reader that learned of a newer state meanwhile must not be left with the older one."""
+def test_local_write_after_a_peer_record_is_reported_with_the_next_version(task, applied_records):
+    """Guards against a subscriber that keeps the peer's record after a later local write."""
     task.start()
-    task.answer_sync(SyncRequest((record(6, "held"),)))
+    task.handle_sync(SyncRequest((record(6, "held"),)))
     task.publish(KEY, "serving")
-    wait_until(lambda: len(told) == 2, "both records are told")
-    assert [(one.version, msgspec.json.decode(one.value)) for one in told] == [
+    wait_until(lambda: len(applied_records) == 2, "both records are reported")
+    assert [(entry.version, msgspec.json.decode(entry.value)) for entry in applied_records] == [
         (6, "held"),
         (7, "serving"),
     ]
 
 
-def test_tables_with_one_version_but_two_values_differ():
+def test_digests_differ_for_equal_versions_with_different_values():
     tables = [ReplicatedTable(), ReplicatedTable()]
     for table, value in zip(tables, ("held", "serving"), strict=True):
         table.merge(record(6, value), 2)
