--- a/src/wheelslip/cli.py
+++ b/src/wheelslip/cli.py
@@ -1,6 +1,6 @@
 """The ``wheelslip`` command.
 
-Exit status: 0 done, 1 refused, 2 bad usage, 3 unknown outcome.
+Exit status: 0 success, 1 refused or failed, 2 invalid usage, 3 unknown outcome.
 """
 
 import json
@@ -29,33 +29,33 @@
 DEFAULT_NODE = "127.0.0.1:8101"
 """Operator address used when ``--node`` is not given."""
 
-_IN_FORCE_SECONDS = 11.0
-_POLL_SECONDS = 0.2
+_APPLY_TIMEOUT_SECONDS = 11.0
+_POLL_INTERVAL_SECONDS = 0.2
 
 
 class PolicyCommands:
     """Check and test policies without a node."""
 
     def check(self, file: str) -> None:
-        """Check that the policies in FILE parse and decide on the sample facts.
+        """Check that the policies in FILE parse and evaluate on sample facts.
 
         Example: wheelslip policy check examples/thibodeau/policies.yaml
         """
-        for name, spec in _policies(file):
-            _program(name, spec)
+        for name, spec in _read_policies(file):
+            _compile_policy(name, spec)
             print(f"{name}: ok")
 
     def test(self, file: str) -> None:
-        """Run the cases of the policies in FILE.
+        """Run the test cases of the policies in FILE.
 
         Example: wheelslip policy test examples/thibodeau/policies.yaml
         """
         failed = 0
-        for name, spec in _policies(file):
+        for name, spec in _read_policies(file):
             try:
-                failures = failed_cases(_program(name, spec), spec)
-            except PolicyError as error:
-                failures = [str(error)]
+                failures = failed_cases(_compile_policy(name, spec), spec)
+            except PolicyError as exc:
+                failures = [str(exc)]
             failed += len(failures)
             for failure in failures:
                 print(f"{name}: FAILED {failure}")
@@ -87,7 +87,7 @@
         _run_node(checked)
 
     def check_settings(self, settings: str, **flags: object) -> None:
-        """Check a SETTINGS file and flags without starting a node.
+        """Validate a SETTINGS file and flags without starting a node.
 
         Example: wheelslip check-settings --settings node.toml
         """
@@ -100,14 +100,14 @@
         node: str = DEFAULT_NODE,
         expected_revision: int | None = None,
         change_id: str | None = None,
-        wait: float = _IN_FORCE_SECONDS,
+        wait: float = _APPLY_TIMEOUT_SECONDS,
         output: str = "table",
     ) -> None:
-        """Apply the declarations in PATH, a YAML file or a folder, and wait for every zone.
+        """Apply the declarations in PATH, a YAML file or folder, and wait until all zones use them.
 
         Example: wheelslip apply examples/thibodeau --node 127.0.0.1:8101
         """
-        objects = _read(path)
+        objects = _read_objects(path)
         client = OperatorClient(node)
         current = _call(client.objects)
         changed = _print_difference(current.objects, objects, output)
@@ -118,62 +118,64 @@
         _apply_and_wait(client, objects, expected, change_id, wait, output)
 
     def diff(self, path: str, node: str = DEFAULT_NODE) -> None:
-        """Print what applying PATH would change; exit status 1 when anything would.
+        """Print what applying PATH would change; exit with status 1 if there are changes.
 
         Example: wheelslip diff examples/thibodeau
         """
-        objects = _read(path)
+        objects = _read_objects(path)
         if _print_difference(_call(OperatorClient(node).objects).objects, objects, "table"):
             sys.exit(EXIT_REFUSED)
 
     def get(self, name: str = "", node: str = DEFAULT_NODE, output: str = "table") -> None:
-        """Print declared objects: all, one Kind, or one Kind/name.
+        """Print declared objects: all, those of one Kind, or a single Kind/name.
 
         Example: wheelslip get Workload/lookup --output json
         """
-        answer = _call(OperatorClient(node).objects)
+        current = _call(OperatorClient(node).objects)
         kind = name.partition("/")[0]
-        chosen = {
+        selected = {
             key: spec
-            for key, spec in answer.objects.items()
+            for key, spec in current.objects.items()
             if not name or key == name or (key.startswith(f"{kind}/") and name == kind)
         }
-        if name and not chosen:
+        if name and not selected:
             _fail(EXIT_REFUSED, f"{name}: not declared")
         if output == "json":
-            print(json.dumps({"revision": answer.revision, "objects": chosen}, indent=2))
+            print(json.dumps({"revision": current.revision, "objects": selected}, indent=2))
             return
-        rows = [(key, json.dumps(spec)) for key, spec in sorted(chosen.items())]
+        rows = [(key, json.dumps(spec)) for key, spec in sorted(selected.items())]
         print(format_table(("OBJECT", "SPEC"), rows))
-        print(f"revision {answer.revision}")
+        print(f"revision {current.revision}")
 
-    def delete(self, name: str, node: str = DEFAULT_NODE, wait: float = _IN_FORCE_SECONDS) -> None:
-        """Delete one declared object, Kind/name.
+    def delete(
+        self, name: str, node: str = DEFAULT_NODE, wait: float = _APPLY_TIMEOUT_SECONDS
+    ) -> None:
+        """Delete the declared object Kind/name.
 
         Example: wheelslip delete Workload/lookup
         """
-        _change_one(node, _object_key(name), None, wait)
+        _apply_one(node, _parse_object_key(name), None, wait)
 
     def drain(
         self, engine: str, reason: str = "", node: str = DEFAULT_NODE, wait: float = 11.0
     ) -> None:
-        """Give an engine no new work.
+        """Stop sending new requests to an engine.
 
         Example: wheelslip drain engine-3 --reason "memory fault"
         """
         key = ObjectKey(Kind.DRAIN, engine)
         check_spec(Kind.DRAIN, {"reason": reason})
-        _change_one(node, key, {"reason": DrainSpec(reason).reason}, wait)
+        _apply_one(node, key, {"reason": DrainSpec(reason).reason}, wait)
 
     def undrain(self, engine: str, node: str = DEFAULT_NODE, wait: float = 11.0) -> None:
-        """Give an engine work again.
+        """Resume sending requests to a drained engine.
 
         Example: wheelslip undrain engine-3
         """
-        _change_one(node, ObjectKey(Kind.DRAIN, engine), None, wait)
+        _apply_one(node, ObjectKey(Kind.DRAIN, engine), None, wait)
 
     def status(self, node: str = DEFAULT_NODE, output: str = "table") -> None:
-        """Print nodes, engines and the revision in force in each zone.
+        """Print nodes, engines and the configuration revision in force in each zone.
 
         Example: wheelslip status --node 127.0.0.1:8101
         """
@@ -181,18 +183,26 @@
         status = _call(client.status)
         zones = _call(client.revisions)
         if output == "json":
-            status["zones"] = [{"zone": one.zone, "revision": one.revision} for one in zones]
+            status["zones"] = [{"zone": zone.zone, "revision": zone.revision} for zone in zones]
             print(json.dumps(status, indent=2))
             return
         print(f"node {status['node']}  zone {status['zone']}  revision {status['revision']}\n")
-        members = [(one["name"], one["zone"], one["state"]) for one in status["members"]]
+        members = [
+            (member["name"], member["zone"], member["state"]) for member in status["members"]
+        ]
         print(format_table(("NODE", "ZONE", "STATE"), members) + "\n")
         engines = [
-            (one["name"], one["zone"], one["model"], one["weights_version"], one["state"])
-            for one in status["engines"]
+            (
+                engine["name"],
+                engine["zone"],
+                engine["model"],
+                engine["weights_version"],
+                engine["state"],
+            )
+            for engine in status["engines"]
         ]
         print(format_table(("ENGINE", "ZONE", "MODEL", "VERSION", "STATE"), engines) + "\n")
-        rows = [(one.zone, one.revision, one.nodes, len(one.silent_nodes)) for one in zones]
+        rows = [(zone.zone, zone.revision, zone.nodes, len(zone.silent_nodes)) for zone in zones]
         print(format_table(("ZONE", "REVISION", "NODES", "SILENT"), rows))
 
 
@@ -207,51 +217,51 @@
 
 
 def _load_settings(path: str, flags: dict[str, object]) -> Settings:
-    section = {"key_value": "platform", "machine_list": "platform"}
+    sections = {"key_value": "platform", "machine_list": "platform"}
     overrides = {
-        f"{section.get(name, 'node')}.{name}": list(value) if name == "seeds" else value
+        f"{sections.get(name, 'node')}.{name}": list(value) if name == "seeds" else value
         for name, value in flags.items()
     }
     try:
         return load_settings(path, overrides)
-    except SettingsError as error:
-        _fail(EXIT_USAGE, str(error))
+    except SettingsError as exc:
+        _fail(EXIT_USAGE, str(exc))
 
 
 def _run_node(settings: Settings) -> None:
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     try:
         node = Node(settings)
         node.start()
-    except OSError as error:
-        _fail(EXIT_USAGE, f"cannot start: {error}")
+    except OSError as exc:
+        _fail(EXIT_USAGE, f"cannot start: {exc}")
     stop.wait()
-    cut = node.stop()
-    sys.exit(EXIT_REFUSED if cut else 0)
+    unfinished = node.stop()
+    sys.exit(EXIT_REFUSED if unfinished else 0)
 
 
-def _read(path: str) -> dict[str, dict[str, object]]:
+def _read_objects(path: str) -> dict[str, dict[str, object]]:
     try:
         return read_declarations(path)
-    except DeclarationsInvalid as error:
-        _fail(EXIT_REFUSED, str(error))
+    except DeclarationsInvalid as exc:
+        _fail(EXIT_REFUSED, str(exc))
 
 
 def _call(function, *arguments):
     try:
         return function(*arguments)
-    except OperatorRefused as error:
-        _fail(EXIT_REFUSED, f"refused ({error.kind}): {error}")
-    except OutcomeUnknown as error:
-        _fail(EXIT_UNKNOWN, f"unknown outcome: {error}")
+    except OperatorRefused as exc:
+        _fail(EXIT_REFUSED, f"refused ({exc.kind}): {exc}")
+    except OutcomeUnknown as exc:
+        _fail(EXIT_UNKNOWN, f"unknown outcome: {exc}")
 
 
 def _print_difference(
-    current: dict[str, dict[str, object]], wanted: dict[str, dict[str, object]], output: str
+    current: dict[str, dict[str, object]], desired: dict[str, dict[str, object]], output: str
 ) -> bool:
-    changed = {key: spec for key, spec in wanted.items() if current.get(key) != spec}
+    changed = {key: spec for key, spec in desired.items() if current.get(key) != spec}
     for key in sorted(changed):
         if output == "table":
             print(f"{'change' if key in current else 'create'} {key}")
@@ -273,31 +283,31 @@
     wait: float,
     output: str = "table",
 ) -> None:
-    answer = _call(client.apply, objects, expected, change_id or uuid.uuid4().hex)
-    _print_outcome(answer.outcome, answer.revision, output)
-    if wait and not _wait_in_force(client, answer.revision, wait, output == "table"):
+    result = _call(client.apply, objects, expected, change_id or uuid.uuid4().hex)
+    _print_outcome(result.outcome, result.revision, output)
+    if wait and not _wait_in_force(client, result.revision, wait, output == "table"):
         _fail(EXIT_REFUSED, f"accepted, but not in force in every zone after {wait:g} s")
 
 
 def _wait_in_force(client: OperatorClient, revision: int, wait: float, show_progress: bool) -> bool:
-    give_up_at = time.monotonic() + wait
-    shown: set[str] = set()
+    deadline = time.monotonic() + wait
+    reported_zones: set[str] = set()
     while True:
         zones = _call(client.revisions)
         for zone in zones:
-            holds = zone.revision >= revision and not zone.silent_nodes
-            if holds and zone.zone not in shown:
-                shown.add(zone.zone)
+            in_force = zone.revision >= revision and not zone.silent_nodes
+            if in_force and zone.zone not in reported_zones:
+                reported_zones.add(zone.zone)
                 if show_progress:
                     print(f"in force in zone {zone.zone} ({zone.nodes} nodes)")
-        if len(shown) == len(zones):
+        if len(reported_zones) == len(zones):
             return True
-        if time.monotonic() >= give_up_at:
+        if time.monotonic() >= deadline:
             return False
-        time.sleep(_POLL_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
 
 
-def _change_one(node: str, key: ObjectKey, spec: dict[str, object] | None, wait: float) -> None:
+def _apply_one(node: str, key: ObjectKey, spec: dict[str, object] | None, wait: float) -> None:
     client = OperatorClient(node)
     current = _call(client.objects)
     if spec is None and str(key) not in current.objects:
@@ -305,28 +315,28 @@
     _apply_and_wait(client, {str(key): spec}, current.revision, None, wait)
 
 
-def _object_key(text: str) -> ObjectKey:
+def _parse_object_key(text: str) -> ObjectKey:
     try:
         return ObjectKey.parse(text)
-    except ValueError as error:
-        _fail(EXIT_USAGE, str(error))
+    except ValueError as exc:
+        _fail(EXIT_USAGE, str(exc))
 
 
-def _policies(file: str) -> list[tuple[str, PolicySpec]]:
-    found = []
-    for key, spec in _read(file).items():
+def _read_policies(file: str) -> list[tuple[str, PolicySpec]]:
+    policies = []
+    for key, spec in _read_objects(file).items():
         if key.startswith(f"{Kind.POLICY.value}/"):
-            found.append((key, check_spec(Kind.POLICY, spec)))
-    if not found:
+            policies.append((key, check_spec(Kind.POLICY, spec)))
+    if not policies:
         _fail(EXIT_REFUSED, f"{file}: declares no Policy")
-    return found
+    return policies
 
 
-def _program(name: str, spec: PolicySpec) -> PolicyProgram:
+def _compile_policy(name: str, spec: PolicySpec) -> PolicyProgram:
     try:
         return PolicyProgram(name, spec.program)
-    except PolicyError as error:
-        _fail(EXIT_REFUSED, f"{name}: {error}")
+    except PolicyError as exc:
+        _fail(EXIT_REFUSED, f"{name}: {exc}")
 
 
 if __name__ == "__main__":
--- a/src/wheelslip/clocks.py
+++ b/src/wheelslip/clocks.py
@@ -1,29 +1,29 @@
-"""The steady clock of the product, and an event loop that runs on it.
+"""A monotonic clock that includes time spent in system suspend, and an event loop that uses it.
 
-Python's monotonic clock stands still while a machine is suspended; leases, keys that are taken away
-and callers' deadlines do not. This one counts that time, so that a suspended process is to itself
-what a frozen one is: on its next look everything has aged by the time that it missed.
+:func:`time.monotonic` stops on Linux while the machine is suspended, but leases, keys that expire
+and callers' deadlines do not. With this clock, timeouts that passed during a suspension have
+expired when the process resumes.
 """
 
 import asyncio
 import time
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Linux has the clock that counts suspension; elsewhere the monotonic one has to do."""
+"""``CLOCK_BOOTTIME`` exists only on Linux; other systems use the monotonic clock."""
 
 
 def steady_seconds() -> float:
-    """Return the seconds since some moment, time of suspension included; it is never set."""
+    """Return the seconds since an arbitrary fixed time, including time in system suspend."""
     return time.clock_gettime(_CLOCK)
 
 
 class SteadyEventLoop(asyncio.SelectorEventLoop):
-    """Timers of this loop are due by the steady clock.
+    """An event loop whose timers use :func:`steady_seconds`.
 
-    After a suspension the loop's present wait goes on for what is left of it; whatever wakes the loop
-    then has all timers looked at, and a node's tasks wake it ten times a second.
+    A suspension does not shorten a wait of the loop's selector that is in progress. Timers that
+    became due meanwhile run when the loop next wakes; a node's tasks wake it ten times a second.
     """
 
     def time(self) -> float:
-        """Return the time by which timers are due."""
+        """Return the time of the clock that timers use."""
         return steady_seconds()
--- a/src/wheelslip/deployment.py
+++ b/src/wheelslip/deployment.py
@@ -1,6 +1,6 @@
-"""Typed records of a deployment and of what is forwarded to it.
+"""Records of the routing configuration, of workers, and of requests and responses.
 
-All are immutable but :class:`Worker`; a change of configuration makes a new record.
+All except :class:`Worker` are immutable; a changed configuration is a new record.
 """
 
 import enum
@@ -8,25 +8,25 @@
 from typing import NamedTuple, NewType
 
 Incarnation = NewType("Incarnation", str)
-"""One start of a worker: its id, and after a slash the Unix millisecond of that start, where it
-tells one. What is held of a worker is held under this, and ends with that start."""
+"""Identifies one run of a worker process: the worker's id, followed by a slash and the start time
+in Unix milliseconds if the worker reports one. State about a worker is stored per incarnation."""
 
 
 def incarnation_of(worker_id: str, born: int) -> Incarnation:
-    """Return the name of one start of a worker.
+    """Return the identifier of one incarnation of a worker.
 
-    :param born: Unix millisecond of the start; 0 when the worker tells none.
+    :param born: start time in Unix milliseconds; 0 if the worker reports none.
     """
     return Incarnation(f"{worker_id}/{born}" if born else worker_id)
 
 
 def worker_id_of(incarnation: Incarnation) -> str:
-    """Return the id of a worker, which its other starts have too."""
+    """Return the worker's id, which is the same for all its incarnations."""
     return incarnation.partition("/")[0]
 
 
 class RouteKind(enum.Enum):
-    """What a route's requests allow."""
+    """Retry and response semantics of a route's requests."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class SplitPart:
-    """One service of a route and its share of the requests."""
+    """A service of a route and the relative weight of its share of the requests."""
 
     service: str
     weight: int
@@ -45,11 +45,13 @@
 class Route:
     """How requests of one host and path prefix are handled.
 
-    :ivar timeout_seconds: longest time a request may be held.
-    :ivar target_seconds: time within which an answer has its full worth.
-    :ivar max_attempts: most workers that may run one request.
-    :ivar pause_seconds: longest pause between events that keeps an answer in time.
-    :ivar resumable: a stream may go on at another worker after its last whole event.
+    :ivar timeout_seconds: maximum time from a request's arrival to its end.
+    :ivar target_seconds: latency target, counted from arrival.
+    :ivar priority: used for tenants without a priority of their own; 0 is the most urgent.
+    :ivar max_attempts: maximum number of attempts that may have run at a worker.
+    :ivar resumable: an interrupted stream may continue at another worker after its last complete
+        event.
+    :ivar pause_seconds: longest pause between events of a response that meets its target.
     """
 
     name: str
@@ -68,17 +70,18 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """What the configuration tells of a service's model engines.
+    """Configured properties of a service's model engines.
 
-    :ivar cache_tokens: tokens of KV cache one worker can keep.
-    :ivar token_bytes: bytes of KV cache a token takes.
-    :ivar link_bytes_per_second: bandwidth of a worker's cache moves.
+    :ivar capacity: number of requests that one worker runs concurrently.
+    :ivar cache_tokens: KV cache size of one worker, in tokens.
+    :ivar token_bytes: KV cache bytes per token.
+    :ivar link_bytes_per_second: bandwidth of a worker's link for KV cache transfers.
     """
 
     capacity: int
@@ -89,7 +92,10 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A group of workers of one kind; ``engine`` is set for model engines."""
+    """A group of workers of one kind.
+
+    :ivar engine: ``None`` if the workers are not model engines.
+    """
 
     name: str
     max_connections: int
@@ -98,9 +104,10 @@
 
 @dataclass(frozen=True)
 class CacheStore:
-    """A store of kept KV cache and the bandwidth of its link.
+    """A cache store, from which several workers load saved KV cache.
 
-    :ivar cache_tokens: tokens of KV cache that it can keep.
+    :ivar link_bytes_per_second: bandwidth of its link for KV cache transfers.
+    :ivar cache_tokens: its size, in tokens of KV cache.
     """
 
     name: str
@@ -111,12 +118,12 @@
 
 
 class TenantLimit(NamedTuple):
-    """What a tenant may have run at workers, over all nodes together.
+    """Rate limit of a tenant's requests at workers, shared by all nodes.
 
-    :ivar rate: units a second.
-    :ivar burst: units on top of that, at once.
-    :ivar counts_tokens: units are tokens of prompt and output; otherwise requests.
-    :ivar plain_tokens: tokens that a request counts as when it tells none.
+    :ivar rate: units per second.
+    :ivar burst: capacity of the token bucket: units that may be used at once.
+    :ivar counts_tokens: whether units are prompt and output tokens; requests otherwise.
+    :ivar plain_tokens: tokens charged for a request without token counts.
     """
 
     rate: float
@@ -125,7 +132,7 @@
     plain_tokens: float = 1.0
 
     def units(self, prompt_tokens: int, output_tokens: int) -> float:
-        """Return how much of the limit a request takes."""
+        """Return the units to charge for a request."""
         if not self.counts_tokens:
             return 1.0
         return float(prompt_tokens + output_tokens) or self.plain_tokens
@@ -133,9 +140,11 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A tenant; an isolated one shares no cached state with others.
+    """A tenant.
 
-    :ivar limit: ``None`` when it may have run whatever it sends.
+    :ivar priority: ``None`` to use the priority of the route.
+    :ivar isolated: whether it shares no cached state with other tenants.
+    :ivar limit: ``None`` for no rate limit.
     """
 
     name: str
@@ -146,7 +155,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or rest."""
+    """Size limits of callers' requests, and timeouts of their connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -156,12 +165,14 @@
 
 @dataclass(frozen=True)
 class RoutingConfiguration:
-    """One whole configuration; ``version`` only rises.
+    """A complete configuration.
 
+    :ivar version: increases with each change.
     :ivar routes: by host, longest path prefix first.
-    :ivar tenants_by_key: tenant by API key; empty when callers need no key.
-    :ivar isolated_tenants: names in order; part of the salt of shared cache.
-    :ivar tenant_limits: by name, of the tenants that have one.
+    :ivar tenants_by_key: tenants by API key.
+    :ivar keys_required: whether callers must send an API key, except on public routes.
+    :ivar isolated_tenants: sorted names; part of the cache namespace that other tenants share.
+    :ivar tenant_limits: limits by tenant name; tenants without a limit are absent.
     """
 
     version: int
@@ -175,7 +186,7 @@
     tenant_limits: dict[str, TenantLimit] = field(default_factory=dict)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix, or ``None``."""
+        """Return the route with the longest matching prefix, or ``None``."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -183,7 +194,7 @@
 
 
 class WorkerState(enum.Enum):
-    """Whether a worker takes new requests."""
+    """Whether a worker accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -191,10 +202,10 @@
 
 @dataclass(frozen=True)
 class WorkerInfo:
-    """One incarnation of a worker, as it told the registry.
+    """One incarnation of a worker, as described by its registry entry.
 
-    :ivar weights: version of each model's weights.
-    :ivar born: Unix millisecond of its start; 0 when it tells none.
+    :ivar weights: version of the weights by model.
+    :ivar born: start time in Unix milliseconds; 0 if not reported.
     """
 
     id: Incarnation
@@ -208,14 +219,14 @@
 
     @property
     def worker_id(self) -> str:
-        """The id that all starts of the worker have."""
+        """The worker's id, which is the same for all its incarnations."""
         return worker_id_of(self.id)
 
 
 class UnusableEntry(NamedTuple):
-    """A document of the registry that cannot be read.
+    """A registry entry that cannot be decoded or is invalid.
 
-    :ivar field: what is missing or wrong, empty when the whole document is.
+    :ivar field: the missing or invalid field; empty if the error concerns the whole document.
     """
 
     key: str
@@ -225,12 +236,13 @@
 
 @dataclass
 class Worker:
-    """One start of a worker and what this node learned of it beyond its entry.
+    """One incarnation of a worker and the state that this node observed beyond its entry.
 
-    :ivar weights: as its entry, its answers and the rollout told, the highest of each.
-    :ivar doubtful_until: the entry vanished around an outage; used until then, unless it returns.
-    :ivar replaced: another process answered at its address.
-    :ivar unusable: the newest entry names no worker.
+    :ivar weights: highest version by model, from its entry, its responses and the rollout.
+    :ivar doubtful_until: time until which the worker is used although its entry vanished around a
+        store outage; ``None`` while the entry exists.
+    :ivar replaced: another process responded at its address.
+    :ivar unusable: its newest entry is invalid.
     """
 
     info: WorkerInfo
@@ -242,7 +254,7 @@
 
 @dataclass(frozen=True)
 class NamedWeights:
-    """The operator wants this version of a model's weights."""
+    """Version of a model's weights that the operator requests."""
 
     model: str
     version: int
@@ -250,7 +262,11 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt: an id shared between requests, and its tokens."""
+    """One part of a prompt.
+
+    :ivar id: the same for every request that contains the part.
+    :ivar tokens: length in tokens.
+    """
 
     id: str
     tokens: int
@@ -258,11 +274,11 @@
 
 @dataclass(frozen=True)
 class RequestMetadata:
-    """What a caller told about a request beside its method, target and body.
+    """Properties of a request that the caller sends in headers.
 
-    :ivar deadline_seconds: how long the caller waits; ``None`` when not told.
-    :ivar api_key: the caller's key; ``None`` without one.
-    :ivar last_event_id: the event after which a stream goes on.
+    :ivar deadline_seconds: how long the caller waits; ``None`` if not given.
+    :ivar api_key: ``None`` if not given.
+    :ivar last_event_id: event after which a stream is to continue; ``None`` to start at the first.
     """
 
     request_id: str
@@ -276,15 +292,15 @@
 
 
 Headers = list[tuple[bytes, bytes]]
-"""Header names as they were sent, and values."""
+"""Header names, in the case in which they were received, and values."""
 
 
 @dataclass(frozen=True)
 class ForwardedRequest:
-    """One caller's attempt, whole, as it was received.
+    """A complete request as received from a caller.
 
     :ivar target: path and query, unchanged.
-    :ivar arrived: on the steady clock, when the head had been read.
+    :ivar arrived: when its head was received, in seconds of the steady clock.
     """
 
     method: str
@@ -297,13 +313,18 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.decode("latin-1").partition("?")[0]
 
 
 @dataclass(frozen=True)
 class CachePlan:
-    """Where a worker looks for kept KV cache, and under which salt."""
+    """Instructions for a worker about the KV cache of a prompt.
+
+    :ivar salt: separates cached prompts of different namespaces and weights versions.
+    :ivar fetch_from: address to load cached parts from; empty for none.
+    :ivar save_to: address of the cache store to save the prompt to; empty for none.
+    """
 
     salt: str
     fetch_from: str = ""
@@ -312,10 +333,10 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """What a node adds to a request for one worker.
+    """Properties that a node adds to a request when it sends it to a worker.
 
-    :ivar remaining_seconds: time left of the request's deadline.
-    :ivar weights_version: precondition on the worker's weights; ``None`` for none.
+    :ivar remaining_seconds: time left until the request's deadline.
+    :ivar weights_version: weights version that the worker must have; ``None`` for any.
     """
 
     worker: WorkerInfo
@@ -329,15 +350,19 @@
 
 @dataclass(frozen=True)
 class AnswerMetadata:
-    """What a worker's answer tells beside its status and body.
-
-    :ivar not_executed: the worker proves that it did not run the request.
-    :ivar keep_alive_seconds: how long the worker keeps an idle connection.
-    :ivar leaving: the worker says that it is about to end.
-    :ivar retry_seconds: after how long it says to come back; ``None`` when it says nothing of use.
-    :ivar rate_limit: requests a second that it takes from all nodes together; ``None`` when it
-        names no limit that can be read.
-    :ivar unreadable_limit: the beginning of what it wrote instead of a number; empty for nothing.
+    """Properties of a worker's response that are sent in headers.
+
+    :ivar signed: whether it has a signature header.
+    :ivar not_executed: the worker guarantees that it did not execute the request.
+    :ivar instance: id of the worker that responded; ``None`` if not given.
+    :ivar keep_alive_seconds: how long the worker keeps an idle connection open; ``None`` if not
+        given.
+    :ivar closes: the worker closes the connection after the response.
+    :ivar leaving: the worker announces that it is about to stop.
+    :ivar retry_seconds: backoff that the worker requests; ``None`` if missing or invalid.
+    :ivar rate_limit: requests per second that the worker accepts from all nodes together; ``None``
+        if missing or invalid.
+    :ivar unreadable_limit: beginning of an invalid rate limit, for the log; empty otherwise.
     """
 
     request_id: str | None
--- a/src/wheelslip/errors.py
+++ b/src/wheelslip/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""Error kinds and the responses that they produce.
 
-Every error that a caller or operator sees is built from :data:`ERROR_TABLE`; no other
-module chooses a status, a run state or a retry hint. ``docs/ERRORS.md`` is generated
-from the same table by ``scripts/generate_error_page.py``.
+Every error response is built from :data:`ERROR_TABLE`; no other module sets an error status, a
+run state or a retry hint. ``scripts/generate_error_page.py`` generates ``docs/ERRORS.md`` from
+the table.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class RunState(enum.StrEnum):
-    """What is known about whether an engine ran the request."""
+    """Whether an engine executed the request, as far as this is certain."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -18,7 +18,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every kind of error that wheelslip answers with."""
+    """Every kind of error in wheelslip's responses."""
 
     INVALID_REQUEST = "invalid_request"
     IDEMPOTENCY_KEY_REQUIRED = "idempotency_key_required"
@@ -54,14 +54,14 @@
 
 
 @dataclass(frozen=True)
-class ErrorAnswer:
-    """How one error kind is answered.
-
-    :param status: HTTP status code.
-    :param run_state: what the caller may conclude about execution.
-    :param retry: whether repeating the same request may succeed.
-    :param retry_after_seconds: default ``Retry-After``; ``None`` sends no header.
-    :param meaning: one sentence for the error page.
+class ErrorDefinition:
+    """Response to one error kind.
+
+    :ivar status: HTTP status code.
+    :ivar run_state: whether the request was executed.
+    :ivar retry: whether a retry of the same request may succeed.
+    :ivar retry_after_seconds: default ``Retry-After``; ``None`` sends no header.
+    :ivar meaning: description for the error page.
     """
 
     status: int
@@ -72,55 +72,57 @@
 
 
 _NOT_RUN = RunState.NOT_RUN
-_MAY = RunState.MAY_HAVE_RUN
+_MAY_HAVE_RUN = RunState.MAY_HAVE_RUN
 
-ERROR_TABLE: dict[ErrorKind, ErrorAnswer] = {
-    ErrorKind.INVALID_REQUEST: ErrorAnswer(
+ERROR_TABLE: dict[ErrorKind, ErrorDefinition] = {
+    ErrorKind.INVALID_REQUEST: ErrorDefinition(
         400, _NOT_RUN, False, None, "The request is malformed; the message names the field."
     ),
-    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: ErrorAnswer(
+    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: ErrorDefinition(
         400, _NOT_RUN, False, None, "The workload may not be repeated and needs Idempotency-Key."
     ),
-    ErrorKind.IDEMPOTENCY_KEY_REUSED: ErrorAnswer(
+    ErrorKind.IDEMPOTENCY_KEY_REUSED: ErrorDefinition(
         422, _NOT_RUN, False, None, "The Idempotency-Key was used before with another body."
     ),
-    ErrorKind.AUTHENTICATION_FAILED: ErrorAnswer(
+    ErrorKind.AUTHENTICATION_FAILED: ErrorDefinition(
         401, _NOT_RUN, False, None, "The bearer key is missing or belongs to no tenant."
     ),
-    ErrorKind.MODEL_NOT_FOUND: ErrorAnswer(
+    ErrorKind.MODEL_NOT_FOUND: ErrorDefinition(
         404, _NOT_RUN, False, None, "No workload or model of that name is declared for the tenant."
     ),
-    ErrorKind.PATH_NOT_FOUND: ErrorAnswer(404, _NOT_RUN, False, None, "No such path."),
-    ErrorKind.METHOD_NOT_ALLOWED: ErrorAnswer(
+    ErrorKind.PATH_NOT_FOUND: ErrorDefinition(404, _NOT_RUN, False, None, "No such path."),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorDefinition(
         405, _NOT_RUN, False, None, "The path does not take this method."
     ),
-    ErrorKind.BODY_INCOMPLETE: ErrorAnswer(
+    ErrorKind.BODY_INCOMPLETE: ErrorDefinition(
         408, _NOT_RUN, True, None, "The body ended before its announced length."
     ),
-    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(
+    ErrorKind.BODY_TOO_LARGE: ErrorDefinition(
         413, _NOT_RUN, False, None, "The body is larger than limits.max_body_bytes."
     ),
-    ErrorKind.HEADERS_TOO_LARGE: ErrorAnswer(
+    ErrorKind.HEADERS_TOO_LARGE: ErrorDefinition(
         431, _NOT_RUN, False, None, "The headers are larger than limits.max_header_bytes."
     ),
-    ErrorKind.TENANT_LIMIT_EXCEEDED: ErrorAnswer(
+    ErrorKind.TENANT_LIMIT_EXCEEDED: ErrorDefinition(
         429, _NOT_RUN, True, 1, "The tenant is over a declared limit."
     ),
-    ErrorKind.QUEUE_FULL: ErrorAnswer(429, _NOT_RUN, True, 1, "The waiting queue is full."),
-    ErrorKind.DEADLINE_UNREACHABLE: ErrorAnswer(
+    ErrorKind.QUEUE_FULL: ErrorDefinition(429, _NOT_RUN, True, 1, "The waiting queue is full."),
+    ErrorKind.DEADLINE_UNREACHABLE: ErrorDefinition(
         429, _NOT_RUN, True, 1, "No engine can give the first token before the deadline."
     ),
-    ErrorKind.POLICY_REFUSED: ErrorAnswer(
+    ErrorKind.POLICY_REFUSED: ErrorDefinition(
         429, _NOT_RUN, True, 5, "The operator's policy refuses the request for now."
     ),
-    ErrorKind.NOT_READY: ErrorAnswer(
+    ErrorKind.NOT_READY: ErrorDefinition(
         503, _NOT_RUN, True, 1, "The node holds no configuration yet."
     ),
-    ErrorKind.NODE_STOPPING: ErrorAnswer(
+    ErrorKind.NODE_STOPPING: ErrorDefinition(
         503, _NOT_RUN, True, 1, "The node is stopping; another node serves."
     ),
-    ErrorKind.NO_ENGINE: ErrorAnswer(503, _NOT_RUN, True, 2, "No live engine serves the model."),
-    ErrorKind.REQUEST_CRASHES_ENGINES: ErrorAnswer(
+    ErrorKind.NO_ENGINE: ErrorDefinition(
+        503, _NOT_RUN, True, 2, "No live engine serves the model."
+    ),
+    ErrorKind.REQUEST_CRASHES_ENGINES: ErrorDefinition(
         503,
         _NOT_RUN,
         False,
@@ -128,58 +130,66 @@
         "Engines ended while they ran the same content for the same tenant. A repeat before "
         "Retry-After is refused too.",
     ),
-    ErrorKind.REQUEST_SUSPECTED: ErrorAnswer(
+    ErrorKind.REQUEST_SUSPECTED: ErrorDefinition(
         503,
         _NOT_RUN,
         True,
         1,
         "Engines ended while they ran the same content; such requests run one at a time.",
     ),
-    ErrorKind.ATTEMPTS_EXHAUSTED: ErrorAnswer(
+    ErrorKind.ATTEMPTS_EXHAUSTED: ErrorDefinition(
         503, _NOT_RUN, True, 2, "Every attempt was proven not run and the retry budget is spent."
     ),
-    ErrorKind.CLAIM_STORE_UNAVAILABLE: ErrorAnswer(
+    ErrorKind.CLAIM_STORE_UNAVAILABLE: ErrorDefinition(
         503, _NOT_RUN, True, 5, "The key-value service did not take the claim; nothing was sent."
     ),
-    ErrorKind.CLAIM_UNRESOLVED: ErrorAnswer(
-        503, _MAY, True, 2, "An earlier attempt holds the claim and cannot be asked just now."
+    ErrorKind.CLAIM_UNRESOLVED: ErrorDefinition(
+        503,
+        _MAY_HAVE_RUN,
+        True,
+        2,
+        "An earlier attempt holds the claim and cannot be asked just now.",
     ),
-    ErrorKind.CLAIM_LOST: ErrorAnswer(
-        502, _MAY, False, None, "The engine that held the only permitted attempt is dead."
+    ErrorKind.CLAIM_LOST: ErrorDefinition(
+        502, _MAY_HAVE_RUN, False, None, "The engine that held the only permitted attempt is dead."
     ),
-    ErrorKind.ANSWER_NOT_KEPT: ErrorAnswer(
+    ErrorKind.ANSWER_NOT_KEPT: ErrorDefinition(
         410, RunState.RAN, False, None, "The request ran; its answer is no longer kept."
     ),
-    ErrorKind.ENGINE_LOST: ErrorAnswer(
-        502, _MAY, True, 1, "The engine was lost after the request was sent."
+    ErrorKind.ENGINE_LOST: ErrorDefinition(
+        502, _MAY_HAVE_RUN, True, 1, "The engine was lost after the request was sent."
     ),
-    ErrorKind.DEADLINE_PASSED: ErrorAnswer(
-        504, _MAY, True, None, "The deadline passed after the request was sent to an engine."
+    ErrorKind.DEADLINE_PASSED: ErrorDefinition(
+        504,
+        _MAY_HAVE_RUN,
+        True,
+        None,
+        "The deadline passed after the request was sent to an engine.",
     ),
-    ErrorKind.CONFIGURATION_INVALID: ErrorAnswer(
+    ErrorKind.CONFIGURATION_INVALID: ErrorDefinition(
         400, _NOT_RUN, False, None, "A declaration failed its checks; nothing was applied."
     ),
-    ErrorKind.CONFIGURATION_CONFLICT: ErrorAnswer(
+    ErrorKind.CONFIGURATION_CONFLICT: ErrorDefinition(
         409, _NOT_RUN, False, None, "Another change was accepted first; the message names both."
     ),
-    ErrorKind.CONFIGURATION_STORE_UNAVAILABLE: ErrorAnswer(
+    ErrorKind.CONFIGURATION_STORE_UNAVAILABLE: ErrorDefinition(
         503, _NOT_RUN, True, 5, "The key-value service was not reached; nothing was applied."
     ),
-    ErrorKind.CONFIGURATION_OUTCOME_UNKNOWN: ErrorAnswer(
-        504, _MAY, True, 5, "The change was sent and its outcome could not be read back."
+    ErrorKind.CONFIGURATION_OUTCOME_UNKNOWN: ErrorDefinition(
+        504, _MAY_HAVE_RUN, True, 5, "The change was sent and its outcome could not be read back."
     ),
-    ErrorKind.INTERNAL_ERROR: ErrorAnswer(
-        500, _MAY, False, None, "A fault in wheelslip itself; the log has the request id."
+    ErrorKind.INTERNAL_ERROR: ErrorDefinition(
+        500, _MAY_HAVE_RUN, False, None, "A fault in wheelslip itself; the log has the request id."
     ),
 }
 
 
 class WheelslipError(Exception):
-    """An error that ends a request, with its kind and a message for the caller.
+    """An error that ends a request.
 
-    :param kind: the row of :data:`ERROR_TABLE` to answer with.
-    :param message: what happened, naming the field and place where there is one.
-    :param retry_after_seconds: overrides the table's ``Retry-After``.
+    :param kind: key of the response in :data:`ERROR_TABLE`.
+    :param message: description for the caller, with the field and place where there is one.
+    :param retry_after_seconds: replaces the table's ``Retry-After``; ``None`` to keep it.
     """
 
     def __init__(self, kind: ErrorKind, message: str, retry_after_seconds: float | None = None):
@@ -192,7 +202,7 @@
             self.retry_after_seconds = self.answer.retry_after_seconds
 
     def body(self, request_id: str | None = None) -> dict:
-        """Return the JSON body of the answer, in the shape OpenAI clients parse."""
+        """Return the JSON body of the response, in the format that OpenAI clients parse."""
         return {
             "error": {
                 "message": self.message,
--- a/src/wheelslip/events.py
+++ b/src/wheelslip/events.py
@@ -1,7 +1,7 @@
 """Numbered log events, written as JSON lines.
 
-The catalogue for operators is ``docs/EVENTS.md``; ``tests/unit/test_catalogues.py``
-holds the two together.
+``docs/EVENTS.md`` describes the events for operators; ``tests/unit/test_catalogues.py`` checks
+that it lists the same numbers and names.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class LogEvent(enum.IntEnum):
-    """Every event a node logs. Numbers are never reused."""
+    """Every event that a node logs. Numbers are never reused."""
 
     NODE_STARTED = 100
     NODE_READY = 101
@@ -103,39 +103,39 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes lines to a descriptor that never blocks; what does not fit is counted.
+    """Writes lines to a descriptor without blocking, and drops those that it cannot accept.
 
-    :ivar dropped: lines lost since the last one written.
+    :ivar dropped: lines dropped since the last one written.
     """
 
     def __init__(self, descriptor: int):
         super().__init__()
         self._descriptor = descriptor
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, after the rest of an earlier one."""
+        """Write one line, after the unwritten end of an earlier one."""
         if self.dropped:
             record.dropped_lines = self.dropped
         line = (self.format(record) + "\n").encode()
         try:
-            if self._rest:
-                self._rest = self._rest[os.write(self._descriptor, self._rest) :]
-            if self._rest:
+            if self._unwritten:
+                self._unwritten = self._unwritten[os.write(self._descriptor, self._unwritten) :]
+            if self._unwritten:
                 self.dropped += 1
                 return
-            self._rest = line[os.write(self._descriptor, line) :]
+            self._unwritten = line[os.write(self._descriptor, line) :]
             self.dropped = 0
         except OSError:
             self.dropped += 1
 
 
 def configure_logging(node_name: str, zone: str, handler: logging.Handler | None = None) -> None:
-    """Send JSON lines, each carrying the node's name and zone.
+    """Log JSON lines that contain the node's name and zone.
 
-    :param handler: where lines go; standard error when ``None``.
+    :param handler: receives the lines; ``None`` to write to standard error.
     """
     handler = handler or logging.StreamHandler(sys.stderr)
     handler.setFormatter(
@@ -150,27 +150,27 @@
 
 
 class LogBudget:
-    """Bounds the lines about single requests; others are never held back.
+    """Token bucket that limits the rate of log lines about single requests.
 
-    :param lines_per_second: long-term rate; a second's worth may come at once.
+    :param lines_per_second: rate, and the number of lines that may be logged at once.
     """
 
     def __init__(self, lines_per_second: float, clock: Callable[[], float]):
         self._rate = lines_per_second
         self._clock = clock
-        self._level = lines_per_second
+        self._tokens = lines_per_second
         self._updated_at = clock()
         self._suppressed = 0
 
     def log(self, event: "LogEvent", **fields: object) -> None:
-        """Write a line if the budget has room; the next line tells how many were left out."""
+        """Write a line, or count it as suppressed in the next one if the budget is exhausted."""
         now = self._clock()
-        self._level = min(self._rate, self._level + (now - self._updated_at) * self._rate)
+        self._tokens = min(self._rate, self._tokens + (now - self._updated_at) * self._rate)
         self._updated_at = now
-        if self._level < 1.0:
+        if self._tokens < 1.0:
             self._suppressed += 1
             return
-        self._level -= 1.0
+        self._tokens -= 1.0
         if self._suppressed:
             fields["suppressed"] = self._suppressed
             self._suppressed = 0
@@ -178,6 +178,6 @@
 
 
 def log_event(event: LogEvent, **fields: object) -> None:
-    """Write one numbered event with its fields."""
+    """Log one event with its number and fields."""
     level = logging.WARNING if event in _WARNING_EVENTS else logging.INFO
     _LOGGER.log(level, event.name.lower(), extra={"event": int(event), **fields})
--- a/src/wheelslip/http_service.py
+++ b/src/wheelslip/http_service.py
@@ -1,6 +1,6 @@
-"""A small HTTP service on cheroot: typed requests and responses, errors from the table.
+"""HTTP server on cheroot with typed requests and responses, and errors from the error table.
 
-The caller API, the operator API and the stand-ins are handlers of this one service.
+The caller API, the operator API and the stand-ins are handlers of this server.
 """
 
 import contextlib
@@ -20,10 +20,10 @@
 JSON_TYPE = "application/json"
 EVENT_STREAM_TYPE = "text/event-stream"
 SEND_BUFFER_BYTES = 32 * 1024
-"""Kernel send buffer of a connection; the kernel doubles it."""
+"""``SO_SNDBUF`` of a connection; Linux doubles the value."""
 
 _REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 429: "Too Many Requests"}
-_LIBRARY_ERROR_KINDS = {
+_CHEROOT_ERROR_KINDS = {
     "405": ErrorKind.METHOD_NOT_ALLOWED,
     "408": ErrorKind.BODY_INCOMPLETE,
     "413": ErrorKind.HEADERS_TOO_LARGE,
@@ -36,7 +36,11 @@
 
 @dataclass(frozen=True)
 class ServiceRequest:
-    """One HTTP request; header names are in lower case."""
+    """An HTTP request.
+
+    :ivar query: last value of each parameter.
+    :ivar headers: values by name in lower case.
+    """
 
     method: str
     path: str
@@ -47,7 +51,7 @@
     def json_object(self) -> dict:
         """Return the body as a JSON object.
 
-        :raises WheelslipError: ``invalid_request`` when it is not one.
+        :raises WheelslipError: ``invalid_request`` if it is not a JSON object.
         """
         try:
             document = json.loads(self.body)
@@ -62,7 +66,10 @@
 
 @dataclass
 class ServiceResponse:
-    """One HTTP response; an iterator body is sent as it is produced."""
+    """An HTTP response.
+
+    :ivar body: an iterator is sent as it yields.
+    """
 
     status: int = 200
     body: bytes | Iterator[bytes] = b""
@@ -79,10 +86,10 @@
 
 
 def error_response(error: WheelslipError, request_id: str | None = None) -> ServiceResponse:
-    """Return the answer that the error table gives for ``error``."""
+    """Return the response to ``error`` according to the error table."""
     response = json_response(error.body(request_id), error.answer.status)
     if error.retry_after_seconds is not None:
-        # Retry-After takes whole seconds; round up so that nobody comes back early.
+        # Retry-After is in whole seconds; round up so that callers do not retry too early.
         response.headers["Retry-After"] = str(max(1, -int(-error.retry_after_seconds // 1)))
     if request_id is not None:
         response.headers["X-Request-Id"] = request_id
@@ -90,14 +97,14 @@
 
 
 class _TableErrorRequest(HTTPRequest):
-    """Cheroot's request, with its own refusals put through the error table."""
+    """Request whose errors raised by cheroot are answered according to the error table."""
 
     def simple_response(self, status, msg=""):
         code = str(status)[:3]
         if code < "400":
             super().simple_response(status, msg)
             return
-        kind = _LIBRARY_ERROR_KINDS.get(code, ErrorKind.INVALID_REQUEST)
+        kind = _CHEROOT_ERROR_KINDS.get(code, ErrorKind.INVALID_REQUEST)
         error = WheelslipError(kind, str(msg) or str(status))
         response = error_response(error)
         lines = [f"{self.server.protocol} {response.status} {kind.value}"]
@@ -115,7 +122,7 @@
 
 @dataclass(frozen=True)
 class ServiceLimits:
-    """Bounds of one service: sizes in bytes, times in seconds."""
+    """Limits of one service: sizes in bytes, times in seconds."""
 
     threads: int = 16
     max_body_bytes: int = 16 * 1024 * 1024
@@ -124,14 +131,14 @@
 
 
 class HttpService:
-    """Serves one handler on one address until stopped."""
+    """HTTP server that serves one handler on one address."""
 
     def __init__(self, name: str, address: str, handler: Handler, limits: ServiceLimits):
-        listen = Address.parse(address)
+        bind_address = Address.parse(address)
         self._handler = handler
         self._limits = limits
         self._server = wsgi.Server(
-            (listen.host, listen.port),
+            (bind_address.host, bind_address.port),
             self._application,
             numthreads=limits.threads,
             max=limits.threads,
@@ -145,18 +152,18 @@
         self._thread = threading.Thread(target=self._server.serve, name=name, daemon=True)
 
     def start(self) -> None:
-        """Bind the address and begin to serve.
+        """Bind the address and start serving.
 
-        :raises OSError: when the address cannot be bound.
+        :raises OSError: if the address cannot be bound.
         """
         self._server.prepare()
-        # Accepted connections inherit this: a caller that stops reading blocks its own
-        # stream after this many bytes and is cut by the timeout, in place of filling memory.
+        # Inherited by accepted connections. When a caller stops reading, its stream blocks after
+        # this many bytes and ends at the timeout instead of filling memory.
         self._server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop serving; open connections are closed."""
+        """Stop serving and close open connections."""
         self._server.stop()
         self._thread.join()
 
@@ -190,18 +197,20 @@
 
     def _read_body(self, environ: dict) -> bytes:
         limit = self._limits.max_body_bytes
-        announced = environ.get("CONTENT_LENGTH")
-        if announced and int(announced) > limit:
+        content_length = environ.get("CONTENT_LENGTH")
+        if content_length and int(content_length) > limit:
             raise WheelslipError(
-                ErrorKind.BODY_TOO_LARGE, f"body: {announced} bytes, the limit is {limit}"
+                ErrorKind.BODY_TOO_LARGE, f"body: {content_length} bytes, the limit is {limit}"
             )
         try:
-            body = environ["wsgi.input"].read(int(announced) if announced else limit + 1)
+            body = environ["wsgi.input"].read(int(content_length) if content_length else limit + 1)
         except (OSError, ValueError) as error:
-            raise WheelslipError(ErrorKind.BODY_INCOMPLETE, "body: not received whole") from error
-        if announced and len(body) < int(announced):
             raise WheelslipError(
-                ErrorKind.BODY_INCOMPLETE, f"body: {len(body)} of {announced} bytes received"
+                ErrorKind.BODY_INCOMPLETE, "body: could not be read completely"
+            ) from error
+        if content_length and len(body) < int(content_length):
+            raise WheelslipError(
+                ErrorKind.BODY_INCOMPLETE, f"body: {len(body)} of {content_length} bytes received"
             )
         if len(body) > limit:
             raise WheelslipError(ErrorKind.BODY_TOO_LARGE, f"body: over the limit of {limit}")
--- a/src/wheelslip/metrics.py
+++ b/src/wheelslip/metrics.py
@@ -1,12 +1,12 @@
-"""Prometheus metrics of one node; the table for operators is in docs/OPERATING.md."""
+"""Prometheus metrics of one node."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-_FIRST_TOKEN_BUCKETS = (0.05, 0.1, 0.2, 0.3, 0.48, 0.75, 1, 2, 5, 10, 30)
+_FIRST_TOKEN_BUCKETS_SECONDS = (0.05, 0.1, 0.2, 0.3, 0.48, 0.75, 1, 2, 5, 10, 30)
 
 
 class NodeMetrics:
-    """All metrics of a node, in a registry of its own."""
+    """All metrics of a node, in a separate registry."""
 
     def __init__(self):
         self._registry = CollectorRegistry()
@@ -20,7 +20,7 @@
             "wheelslip_first_token_seconds",
             "Seconds from arrival to the first token",
             ["workload"],
-            buckets=_FIRST_TOKEN_BUCKETS,
+            buckets=_FIRST_TOKEN_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self.prompt_tokens = Counter(
@@ -55,5 +55,5 @@
         self._gauges[name].set(value)
 
     def exposition(self) -> bytes:
-        """Return all metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text exposition format."""
         return generate_latest(self._registry)
--- a/src/wheelslip/node.py
+++ b/src/wheelslip/node.py
@@ -1,4 +1,4 @@
-"""Wiring of one node: every task, how they reach each other, start and planned stop."""
+"""A node process: creates, connects, starts and stops its tasks and services."""
 
 import threading
 import time
@@ -40,7 +40,7 @@
 
 
 class Node:
-    """The whole product on one machine."""
+    """A node with its router, peer protocol, caller API and operator API."""
 
     def __init__(self, settings: Settings):
         self._settings = settings
@@ -51,25 +51,30 @@
         node, limits = settings.node, settings.limits
         traffic = TrafficCounts()
         source_host = Address.parse(node.peers).host
-        caller = PeerCaller(source_host, traffic)
-        me = MemberInfo(
+        peer_caller = PeerCaller(source_host, traffic)
+        own_member = MemberInfo(
             node.name, node.zone, node.region, node.advertised or node.peers, node.operators
         )
         key_value = KeyValueClient(settings.platform.key_value, limits.key_value_timeout_seconds)
         store = ConfigurationStore(key_value)
         self._membership = MembershipTask(
             node.peers,
-            me,
+            own_member,
             node.seeds,
-            self._see_revision,
-            self._see_record,
-            caller,
+            self._on_revision,
+            self._on_record,
+            peer_caller,
             traffic,
             on_prefix=lambda message: self._prefix_link.receive(message, self._router),
         )
-        self._prefix_link = PrefixLink(me, self._membership)
+        self._prefix_link = PrefixLink(own_member, self._membership)
         self._configuration = ConfigurationTask(
-            me, caller, node.seeds, store, self._live_members, self._put_in_force
+            own_member,
+            peer_caller,
+            node.seeds,
+            store,
+            self._live_members,
+            self._apply_configuration,
         )
         self._router = RouterTask(
             SchedulerOptions(
@@ -86,7 +91,7 @@
             source_host,
         )
         self._directory = EngineDirectory(
-            me,
+            own_member,
             MachineListClient(settings.platform.machine_list, limits.key_value_timeout_seconds),
             self._engine_client,
             self._router,
@@ -95,20 +100,25 @@
         )
         self._claims = ClaimStore(key_value)
         self._placement = PlacementController(
-            me,
+            own_member,
             key_value,
             self._engine_client,
             self._directory,
             self._live_members,
             lambda: self._configuration.in_force,
         )
-        self._peer_server = PeerServer(node.peers, self._answer_peer, traffic)
+        self._peer_server = PeerServer(node.peers, self._handle_peer_request, traffic)
         self._caller_service = HttpService(
             "callers", node.callers, self._caller_app().handle, _caller_limits(settings)
         )
         operator_app = OperatorApp(
             OperatorServices(
-                me, caller, store, self._configuration, self._membership, self._directory
+                own_member,
+                peer_caller,
+                store,
+                self._configuration,
+                self._membership,
+                self._directory,
             )
         )
         self._operator_service = HttpService(
@@ -116,9 +126,9 @@
         )
 
     def start(self) -> None:
-        """Start every task; requests are served once a configuration is in force.
+        """Start all tasks; requests are served once a configuration is in force.
 
-        :raises OSError: when an address cannot be bound.
+        :raises OSError: if an address cannot be bound.
         """
         self._peer_server.start()
         self._router.start()
@@ -133,16 +143,16 @@
         log_event(LogEvent.NODE_STARTED, callers=node.callers, peers=node.peers)
 
     def stop(self) -> int:
-        """Finish running requests, hand duties over and end.
+        """Finish running requests until the stop deadline, then stop all tasks.
 
-        :return: how many requests were cut off at the deadline.
+        :return: number of requests and claims still unfinished at the deadline.
         """
-        give_up_at = time.monotonic() + self._settings.limits.stop_deadline_seconds
+        deadline = time.monotonic() + self._settings.limits.stop_deadline_seconds
         log_event(LogEvent.NODE_STOP_REQUESTED)
-        cut = self._stop_state.drain(give_up_at)
-        cut += self._claims.stop(give_up_at)
-        if cut:
-            log_event(LogEvent.NODE_STOP_CUT, cut=cut)
+        unfinished = self._stop_state.drain(deadline)
+        unfinished += self._claims.stop(deadline)
+        if unfinished:
+            log_event(LogEvent.NODE_STOP_CUT, cut=unfinished)
         self._caller_service.stop()
         self._placement.stop()
         self._directory.stop()
@@ -152,7 +162,7 @@
         self._operator_service.stop()
         self._router.stop()
         log_event(LogEvent.NODE_STOPPED)
-        return cut
+        return unfinished
 
     def _caller_app(self) -> CallerApp:
         relay = RelayServices(self._router, self._engine_client, self._directory, self._claims)
@@ -160,7 +170,7 @@
             CallerServices(
                 relay,
                 lambda: self._configuration.in_force,
-                TenantLimiter(self._share_of_limits),
+                TenantLimiter(self._tenant_limit_share),
                 self._policies,
                 self._metrics,
                 self._stop_state,
@@ -171,16 +181,16 @@
     def _live_members(self) -> tuple[MemberInfo, ...]:
         return self._membership.view.members
 
-    def _share_of_limits(self, tenant: str) -> float:
+    def _tenant_limit_share(self, tenant: str) -> float:
         return 1.0 / max(1, len(self._live_members()))
 
-    def _see_revision(self, address: str, revision: int) -> None:
+    def _on_revision(self, address: str, revision: int) -> None:
         self._configuration.see_revision(address, revision)
 
-    def _see_record(self, record: Record) -> None:
+    def _on_record(self, record: Record) -> None:
         self._directory.take_record(record)
 
-    def _put_in_force(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self._policies.update(configuration)
         self._directory.set_drained(configuration.drained_engines)
         self._membership.announce_revision(configuration.revision)
@@ -188,7 +198,7 @@
             self._ready_logged.set()
             log_event(LogEvent.NODE_READY, revision=configuration.revision)
 
-    def _answer_peer(self, request: PeerRequest) -> PeerAnswer:
+    def _handle_peer_request(self, request: PeerRequest) -> PeerAnswer:
         if isinstance(request, SyncRequest):
             return self._membership.answer_sync(request)
         if isinstance(request, ConfigurationPull):
--- a/src/wheelslip/settings.py
+++ b/src/wheelslip/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of one node: a TOML file, then flags that override it."""
+"""Settings of one node, read from a TOML file and command-line flags, and validated."""
 
 import ipaddress
 import pathlib
@@ -15,11 +15,11 @@
 
 
 class SettingsError(Exception):
-    """A settings file or flag cannot be used; the message names file, key and reason."""
+    """Raised for an invalid settings file or flag; the message has the file, key and reason."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -33,7 +33,7 @@
     def parse(cls, text: str) -> "Address":
         """Parse ``host:port``.
 
-        :raises ValueError: when the host is no IP number or the port is out of range.
+        :raises ValueError: if the host is not an IP address or the port is out of range.
         """
         host, separator, port_text = text.rpartition(":")
         if not separator:
@@ -46,9 +46,13 @@
 
 
 class NodeSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Who this node is and where it listens.
+    """Name, location and addresses of this node.
 
-    ``advertised`` is the address at which other nodes reach ``peers``, where they differ.
+    :ivar callers: address of the caller API.
+    :ivar operators: address of the operator API.
+    :ivar peers: address that listens for other nodes.
+    :ivar advertised: address at which other nodes reach ``peers``; empty if it is the same.
+    :ivar seeds: addresses of nodes that this node contacts first.
     """
 
     name: NonEmptyText
@@ -62,14 +66,14 @@
 
 
 class PlatformSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Addresses of the platform's services."""
+    """Addresses of the key-value service and the machine list."""
 
     key_value: str
     machine_list: str
 
 
 class LimitsSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Bounds on what one node takes, and its timeouts in seconds."""
+    """Limits on the requests of one node, and its timeouts."""
 
     max_body_bytes: PositiveInt = 4 * 1024 * 1024
     max_header_bytes: PositiveInt = 32 * 1024
@@ -101,11 +105,11 @@
 
 
 def load_settings(path: str, overrides: dict[str, object] | None = None) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a node's settings file.
 
     :param path: a TOML file.
     :param overrides: values by dotted key, such as ``node.zone``, that replace the file's.
-    :raises SettingsError: naming file, key and reason.
+    :raises SettingsError: if the file cannot be read or a value is invalid.
     """
     settings = read_settings(path, Settings, overrides)
     _check_addresses(path, settings)
@@ -115,10 +119,11 @@
 def read_settings(
     path: str, kind: type[SettingsT], overrides: dict[str, object] | None = None
 ) -> SettingsT:
-    """Read a TOML file as one kind of settings, without the checks beyond its types.
+    """Read a TOML file as one type of settings, without checks beyond those of the type.
 
+    :param kind: the settings type.
     :param overrides: values by dotted key, such as ``node.zone``, that replace the file's.
-    :raises SettingsError: naming file, key and reason.
+    :raises SettingsError: if the file cannot be read or a value is invalid.
     """
     try:
         document = tomllib.loads(pathlib.Path(path).read_text())
@@ -142,7 +147,7 @@
 
 
 def _key_and_reason(error: msgspec.ValidationError) -> str:
-    """Return the dotted key that failed a check, and why."""
+    """Return the dotted key that failed validation, and the reason."""
     reason, _, path = str(error).partition(" - at ")
     key = path.strip("`$.") or "(top level)"
     return f"{key}: {reason}"
@@ -158,9 +163,9 @@
 
 
 def check_address(path: str, key: str, text: str) -> None:
-    """Check that a setting is ``IP:PORT``.
+    """Check that a setting is an ``IP:PORT`` address.
 
-    :raises SettingsError: naming file, key and reason.
+    :raises SettingsError: if it is not.
     """
     try:
         Address.parse(text)
--- a/src/wheelslip/stopping.py
+++ b/src/wheelslip/stopping.py
@@ -1,4 +1,4 @@
-"""State of a planned stop: running requests are finished, new ones go elsewhere."""
+"""Graceful shutdown: running requests finish, and new ones are refused."""
 
 import contextlib
 import threading
@@ -6,14 +6,14 @@
 from collections.abc import Iterator
 
 LAME_DUCK_SECONDS = 1.0
-"""Time between failing ``/readyz`` and refusing requests, for callers to move away."""
+"""Delay between failing ``/readyz`` and refusing requests, so that callers can switch nodes."""
 
 
 class StopState:
-    """Counts running requests and says whether new ones are taken.
+    """Tracks running requests and the progress of a graceful shutdown.
 
-    :ivar stopping: a stop was requested; ``/readyz`` fails.
-    :ivar refuses_new: new requests are refused as not run.
+    :ivar stopping: whether a stop was requested; ``/readyz`` fails then.
+    :ivar refuses_new: whether new requests are refused, as not run.
     """
 
     def __init__(self):
@@ -24,7 +24,7 @@
 
     @contextlib.contextmanager
     def running_request(self) -> Iterator[None]:
-        """Count one request as running while the block lasts."""
+        """Return a context manager that counts one running request."""
         with self._changed:
             self._running += 1
         try:
@@ -35,10 +35,10 @@
                 self._changed.notify_all()
 
     def drain(self, give_up_at: float) -> int:
-        """Refuse new requests after the lame-duck time and wait for the running ones.
+        """Refuse new requests after the lame-duck period and wait for the running ones.
 
         :param give_up_at: on the monotonic clock.
-        :return: how many requests still run at that time.
+        :return: number of requests still running at the deadline.
         """
         self.stopping = True
         time.sleep(min(LAME_DUCK_SECONDS, max(0.0, give_up_at - time.monotonic())))
--- a/src/wheelslip/wire.py
+++ b/src/wheelslip/wire.py
@@ -1,4 +1,4 @@
-"""Netstring frames of JSON: the framing of every message between nodes."""
+"""Framing of messages between nodes: JSON in netstrings."""
 
 import socket
 from typing import TypeVar
@@ -6,7 +6,7 @@
 import msgspec
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Largest frame taken; a full configuration snapshot is the largest message sent."""
+"""Maximum payload size; the largest message is a full configuration snapshot."""
 
 _MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
 _RECEIVE_BYTES = 65536
@@ -15,19 +15,19 @@
 
 
 class FrameError(Exception):
-    """A peer sent bytes that are not a netstring of the expected JSON."""
+    """Raised when a peer's bytes are not a netstring with the expected JSON message."""
 
 
 def encode_frame(message: object) -> bytes:
-    """Return ``message`` as one netstring of JSON."""
+    """Return ``message`` as JSON in a netstring."""
     payload = msgspec.json.encode(message)
     return b"%d:%s," % (len(payload), payload)
 
 
 def decode_frame(frame: bytes, message_type: type[MessageT]) -> MessageT:
-    """Decode exactly one netstring.
+    """Decode the message of exactly one netstring.
 
-    :raises FrameError: when the framing or the JSON is wrong.
+    :raises FrameError: if the framing or the message is invalid.
     """
     payload, rest = split_frame(frame)
     if payload is None or rest:
@@ -36,10 +36,10 @@
 
 
 def read_payload(connection: socket.socket) -> bytes:
-    """Read the payload of one frame from a stream socket, as its timeout allows.
+    """Read the payload of one frame from a stream socket, with the socket timeout for each read.
 
-    :raises FrameError: when the framing is wrong, or the peer closed early.
-    :raises OSError: as the socket raises it.
+    :raises FrameError: if the framing is invalid or the peer closed the connection early.
+    :raises OSError: if reading from the socket fails.
     """
     buffer = b""
     while True:
@@ -57,9 +57,9 @@
 def split_frame(buffer: bytes) -> tuple[bytes | None, bytes]:
     """Return the payload of the first frame and the bytes after it.
 
-    The payload is ``None`` while the frame is not whole.
+    The payload is ``None`` while the frame is incomplete.
 
-    :raises FrameError: when the framing is wrong.
+    :raises FrameError: if the framing is invalid.
     """
     colon = buffer.find(b":", 0, _MAX_LENGTH_DIGITS + 1)
     if colon < 0:
@@ -78,9 +78,9 @@
 
 
 def decode_payload(payload: bytes, message_type: type[MessageT]) -> MessageT:
-    """Decode the JSON of one frame.
+    """Decode the JSON message of one frame.
 
-    :raises FrameError: when it is not the expected message.
+    :raises FrameError: if it is not of the expected type.
     """
     try:
         return msgspec.json.decode(payload, type=message_type)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests in KNOWN-RED.txt, and prints them; at most three are allowed."""
+"""Deselects the tests in KNOWN-RED.txt, at most three, and prints their names."""
 
 import pathlib
 
@@ -18,12 +18,14 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    red = known_red_tests()
-    if len(red) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt holds {len(red)} lines, {MAX_KNOWN_RED} at most")
-    passed_over = [item for item in items if item.nodeid in red]
-    items[:] = [item for item in items if item.nodeid not in red]
-    config.hook.pytest_deselected(items=passed_over)
+    known_red = known_red_tests()
+    if len(known_red) > MAX_KNOWN_RED:
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt holds {len(known_red)} lines, {MAX_KNOWN_RED} at most"
+        )
+    deselected = [item for item in items if item.nodeid in known_red]
+    items[:] = [item for item in items if item.nodeid not in known_red]
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter):
--- a/tests/unit/test_catalogues.py
+++ b/tests/unit/test_catalogues.py
@@ -1,4 +1,4 @@
-"""The pages that list errors, events and proofs agree with the code."""
+"""The error, event and guarantee pages and the list of mutations match the code."""
 
 import pathlib
 import re
@@ -16,38 +16,38 @@
 
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
-def test_every_kind_is_answered_as_the_table_says(kind):
-    answer = ERROR_TABLE[kind]
+def test_error_response_matches_the_table(kind):
+    definition = ERROR_TABLE[kind]
     response = error_response(WheelslipError(kind, "why"), "r1")
     body = WheelslipError(kind, "why").body("r1")["error"]
-    assert response.status == answer.status
-    assert 400 <= answer.status < 600
+    assert response.status == definition.status
+    assert 400 <= definition.status < 600
     assert body["code"] == kind.value
-    assert body["run_state"] == answer.run_state.value
-    assert body["retry"] is answer.retry
-    assert ("Retry-After" in response.headers) == (answer.retry_after_seconds is not None)
-    if answer.status in (429, 503):
-        assert answer.retry_after_seconds is not None
+    assert body["run_state"] == definition.run_state.value
+    assert body["retry"] is definition.retry
+    assert ("Retry-After" in response.headers) == (definition.retry_after_seconds is not None)
+    if definition.status in (429, 503):
+        assert definition.retry_after_seconds is not None
 
 
-def test_only_a_kind_that_ran_nothing_may_say_not_run_and_retry_at_once():
-    for answer in ERROR_TABLE.values():
-        assert isinstance(answer.run_state, RunState)
-        assert answer.meaning.endswith(".")
+def test_table_entries_have_run_state_and_complete_sentence():
+    for definition in ERROR_TABLE.values():
+        assert isinstance(definition.run_state, RunState)
+        assert definition.meaning.endswith(".")
 
 
-def test_no_error_answer_is_built_outside_the_table():
-    """Only errors.py and http_service.py know error statuses or bodies."""
+def test_error_responses_are_built_only_from_the_table():
+    """Only errors.py and http_service.py may contain error statuses or bodies."""
     pattern = re.compile(
         r"json_response\([^)]*\b[45]\d\d\b|ServiceResponse\(\s*[45]\d\d|\"run_state\""
     )
     allowed = {SOURCE / "errors.py", SOURCE / "http_service.py"}
-    found = [
+    violations = [
         path.name
         for path in SOURCE.rglob("*.py")
         if path not in allowed and pattern.search(path.read_text())
     ]
-    assert found == []
+    assert violations == []
 
 
 def test_error_page_is_generated_from_the_table():
@@ -66,19 +66,19 @@
     assert unused == []
 
 
-def test_guarantees_name_tests_that_exist():
+def test_guarantees_refer_to_existing_tests():
     page = (ROOT / "docs" / "GUARANTEES.md").read_text()
-    named = re.findall(r"`(tests/[^`:]+\.py)::(\w+)", page)
+    references = re.findall(r"`(tests/[^`:]+\.py)::(\w+)", page)
     missing = [
         f"{file}::{name}"
-        for file, name in named
+        for file, name in references
         if not (ROOT / file).exists() or f"def {name}(" not in (ROOT / file).read_text()
     ]
-    assert named and missing == []
+    assert references and missing == []
 
 
-@pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda one: one.name)
-def test_every_mutation_takes_out_what_the_source_holds(mutation):
+@pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda mutation: mutation.name)
+def test_mutation_replaces_existing_code_and_its_test_exists(mutation):
     for edit in mutation.edits:
         assert (SOURCE / edit.file).read_text().count(edit.old) == 1
     path, _, name = mutation.test.partition("::")
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked before a node starts: one line naming file, key and reason."""
+"""Invalid settings are reported before a node starts, in one line with file, key and reason."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 from wheelslip.settings import SettingsError, load_settings
 
-GOOD = """
+VALID_SETTINGS = """
 [node]
 name = "n1"
 zone = "worcester"
@@ -21,17 +21,17 @@
 
 
 @pytest.fixture
-def write(tmp_path):
-    def _write(text):
+def write_settings(tmp_path):
+    def _write_settings(text):
         path = tmp_path / "node.toml"
         path.write_text(text)
         return str(path)
 
-    return _write
+    return _write_settings
 
 
-def test_good_settings_load_and_flags_override(write):
-    settings = load_settings(write(GOOD), {"node.zone": "providence"})
+def test_valid_settings_load_and_flags_override_the_file(write_settings):
+    settings = load_settings(write_settings(VALID_SETTINGS), {"node.zone": "providence"})
     assert settings.node.name == "n1"
     assert settings.node.zone == "providence"
     assert settings.limits.max_body_bytes > 0
@@ -52,8 +52,8 @@
         ("[node]", "[node", ["is not TOML"]),
     ],
 )
-def test_bad_settings_name_file_key_and_reason(write, old, new, parts):
-    path = write(GOOD.replace(old, new))
+def test_invalid_settings_error_has_file_key_and_reason(write_settings, old, new, parts):
+    path = write_settings(VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load_settings(path)
     message = str(caught.value)
@@ -62,8 +62,8 @@
     assert all(part in message for part in parts), message
 
 
-def test_node_stops_with_status_2_and_one_line(write):
-    path = write(GOOD.replace('zone = "worcester"', ""))
+def test_node_with_invalid_settings_exits_with_status_2_and_one_line(write_settings):
+    path = write_settings(VALID_SETTINGS.replace('zone = "worcester"', ""))
     result = subprocess.run(
         [sys.executable, "-m", "wheelslip.cli", "node", "--settings", path],
         capture_output=True,
@@ -74,6 +74,6 @@
     assert path in result.stderr and "zone" in result.stderr
 
 
-def test_unreadable_file_is_named(tmp_path):
+def test_error_for_unreadable_file_has_its_path(tmp_path):
     with pytest.raises(SettingsError, match="absent.toml: cannot be read"):
         load_settings(str(tmp_path / "absent.toml"))
