--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -165,7 +165,7 @@
         "stop does not wait for running requests",
         8,
         "stopping.py",
-        "lambda: self._running == 0, max(0.0, give_up_at - time.monotonic())",
+        "lambda: self._running == 0, max(0.0, deadline - time.monotonic())",
         "lambda: True, 0.0",
         "test_planned_stop.py::test_streams_waiting_requests_and_claims_finish",
     ),
--- a/src/wheelslip/deployment.py
+++ b/src/wheelslip/deployment.py
@@ -253,7 +253,7 @@
 
 
 @dataclass(frozen=True)
-class NamedWeights:
+class DesiredWeights:
     """Version of a model's weights that the operator requests."""
 
     model: str
@@ -349,7 +349,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerMetadata:
+class ResponseMetadata:
     """Properties of a worker's response that are sent in headers.
 
     :ivar signed: whether it has a signature header.
@@ -357,7 +357,7 @@
     :ivar instance: id of the worker that responded; ``None`` if not given.
     :ivar keep_alive_seconds: how long the worker keeps an idle connection open; ``None`` if not
         given.
-    :ivar closes: the worker closes the connection after the response.
+    :ivar closes_connection: the worker closes the connection after the response.
     :ivar leaving: the worker announces that it is about to stop.
     :ivar retry_seconds: backoff that the worker requests; ``None`` if missing or invalid.
     :ivar rate_limit: requests per second that the worker accepts from all nodes together; ``None``
@@ -371,7 +371,7 @@
     instance: str | None
     weights_version: int | None
     keep_alive_seconds: float | None
-    closes: bool
+    closes_connection: bool
     leaving: bool = False
     retry_seconds: float | None = None
     rate_limit: float | None = None
--- a/src/wheelslip/errors.py
+++ b/src/wheelslip/errors.py
@@ -196,10 +196,10 @@
         super().__init__(message)
         self.kind = kind
         self.message = message
-        self.answer = ERROR_TABLE[kind]
+        self.definition = ERROR_TABLE[kind]
         self.retry_after_seconds = retry_after_seconds
         if retry_after_seconds is None:
-            self.retry_after_seconds = self.answer.retry_after_seconds
+            self.retry_after_seconds = self.definition.retry_after_seconds
 
     def body(self, request_id: str | None = None) -> dict:
         """Return the JSON body of the response, in the format that OpenAI clients parse."""
@@ -208,8 +208,8 @@
                 "message": self.message,
                 "type": self.kind.value,
                 "code": self.kind.value,
-                "run_state": self.answer.run_state.value,
-                "retry": self.answer.retry,
+                "run_state": self.definition.run_state.value,
+                "retry": self.definition.retry,
                 "retry_after_seconds": self.retry_after_seconds,
                 "request_id": request_id,
             }
--- a/src/wheelslip/forwarding/answer_notices.py
+++ b/src/wheelslip/forwarding/answer_notices.py
@@ -3,7 +3,7 @@
 import enum
 from collections.abc import Callable
 
-from wheelslip.deployment import AnswerMetadata, Incarnation, WorkerInfo, worker_id_of
+from wheelslip.deployment import Incarnation, ResponseMetadata, WorkerInfo, worker_id_of
 from wheelslip.events import LogEvent, log_event
 from wheelslip.routing.named_limits import LimitReport, WorkerRateLimits
 from wheelslip.routing.worker_notices import RecoverySlot, WorkerNotices
@@ -52,7 +52,7 @@
         self,
         info: WorkerInfo,
         status: int,
-        answer: AnswerMetadata,
+        answer: ResponseMetadata,
         source: AnswerSource,
         sent_at: float = float("-inf"),
     ) -> None:
@@ -76,7 +76,7 @@
         self,
         info: WorkerInfo,
         status: int,
-        answer: AnswerMetadata,
+        answer: ResponseMetadata,
         source: AnswerSource,
         sent_at: float,
     ) -> None:
--- a/src/wheelslip/forwarding/answers.py
+++ b/src/wheelslip/forwarding/answers.py
@@ -31,4 +31,4 @@
     headers = [(b"Content-Type", b"application/json"), (b"Content-Length", b"%d" % len(body))]
     if error.retry_after_seconds is not None:
         headers.append((b"Retry-After", f"{error.retry_after_seconds:g}".encode()))
-    return error.answer.status, headers, body
+    return error.definition.status, headers, body
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -8,8 +8,8 @@
 import h11
 
 from wheelslip.deployment import (
-    AnswerMetadata,
     Dispatch,
+    ResponseMetadata,
     RouteKind,
 )
 from wheelslip.forwarding.answer_notices import AnswerSource
@@ -195,7 +195,7 @@
             last_event_id=job.last_delivered_id,
         )
 
-    async def _read_head(self) -> tuple[h11.Response, AnswerMetadata]:
+    async def _read_head(self) -> tuple[h11.Response, ResponseMetadata]:
         """Read the response head, skipping responses to other requests.
 
         :raises PeerLost: if the connection ends first.
@@ -209,7 +209,7 @@
                 pass
             self._connection.skip_foreign_answer()
 
-    def _record_worker_state(self, status: int, answer: AnswerMetadata) -> None:
+    def _record_worker_state(self, status: int, answer: ResponseMetadata) -> None:
         """Record the worker state reported in the response headers."""
         registry, info = self._services.registry, self._placement.worker.info
         model = self._job.request.metadata.model
@@ -231,7 +231,7 @@
         self._assignment.record_first_token()
 
     async def _finish_not_run(
-        self, response: h11.Response, answer: AnswerMetadata
+        self, response: h11.Response, answer: ResponseMetadata
     ) -> AttemptOutcome:
         # The head is sufficient proof; the body is read only to make the connection reusable.
         self._job.may_have_run -= 1
@@ -254,12 +254,12 @@
             if len(body) > MAX_BUFFERED_BYTES:
                 raise PeerLost("response larger than the buffer limit")
 
-    def _release_connection(self, answer: AnswerMetadata) -> None:
+    def _release_connection(self, answer: ResponseMetadata) -> None:
         self.released = True
         self._services.pool.release(self._placement.worker.info, self._connection, answer)
 
     async def _relay_buffered(
-        self, response: h11.Response, answer: AnswerMetadata
+        self, response: h11.Response, answer: ResponseMetadata
     ) -> AttemptOutcome:
         body = await self._read_body()
         self._release_connection(answer)
@@ -278,7 +278,9 @@
         write_buffered_response(buffered, self._caller)
         return AttemptOutcome.ANSWERED
 
-    async def _relay_stream(self, response: h11.Response, answer: AnswerMetadata) -> AttemptOutcome:
+    async def _relay_stream(
+        self, response: h11.Response, answer: ResponseMetadata
+    ) -> AttemptOutcome:
         if not answer.signed:
             raise PeerLost("success without a signature")
         splitter = EventSplitter()
--- a/src/wheelslip/forwarding/control_calls.py
+++ b/src/wheelslip/forwarding/control_calls.py
@@ -69,7 +69,7 @@
 
     def _keep(self, worker: WorkerInfo, connection: HttpConnection, response: h11.Response) -> None:
         """Keep a connection for the next call: several follow while a worker loads."""
-        closes = self._dialect.decode_answer(response.headers).closes
+        closes = self._dialect.decode_answer(response.headers).closes_connection
         self._kept = {key: one for key, one in self._kept.items() if one.open}
         if closes or not connection.reusable or len(self._kept) >= MAX_KEPT:
             connection.close()
--- a/src/wheelslip/forwarding/interface.py
+++ b/src/wheelslip/forwarding/interface.py
@@ -8,12 +8,12 @@
 from typing import Protocol
 
 from wheelslip.deployment import (
-    AnswerMetadata,
+    DesiredWeights,
     Dispatch,
     ForwardedRequest,
     Headers,
-    NamedWeights,
     RequestMetadata,
+    ResponseMetadata,
     RoutingConfiguration,
     UnusableEntry,
     WorkerInfo,
@@ -37,7 +37,7 @@
     def own_answer_headers(self, request_id: str | None) -> Headers:
         """Return what every answer of the node's own carries."""
 
-    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> AnswerMetadata:
+    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
         """Read a worker's answer headers; names are in lower case."""
 
 
@@ -46,7 +46,7 @@
 
     def decode(
         self, key: str, value: bytes
-    ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
+    ) -> RoutingConfiguration | WorkerInfo | DesiredWeights | UnusableEntry | None:
         """Return the typed content of one key, ``None`` when it is none of these."""
 
     def worker_id(self, key: str) -> str | None:
@@ -128,7 +128,7 @@
     :ivar on_answer: called with what a worker tells of itself in an answer.
     """
 
-    on_answer: Callable[[WorkerInfo, int, AnswerMetadata, AnswerSource], None]
+    on_answer: Callable[[WorkerInfo, int, ResponseMetadata, AnswerSource], None]
 
     async def report(self, worker: WorkerInfo) -> WorkerReport:
         """Ask a worker for its report.
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from wheelslip.deployment import (
+    DesiredWeights,
     Incarnation,
-    NamedWeights,
     RoutingConfiguration,
     UnusableEntry,
     Worker,
@@ -208,7 +208,7 @@
             self._apply_configuration(document)
         elif isinstance(document, WorkerInfo):
             self.view.apply(document)
-        elif isinstance(document, NamedWeights):
+        elif isinstance(document, DesiredWeights):
             self._record_named_weights(document)
         else:
             self._system_entries[key] = (value, revision)
@@ -236,7 +236,7 @@
         self.configuration = document
         log_event(LogEvent.CONFIGURATION_IN_FORCE, revision=document.version)
 
-    def _record_named_weights(self, named: NamedWeights) -> None:
+    def _record_named_weights(self, named: DesiredWeights) -> None:
         versions = self._named.setdefault(named.model, [])
         if not versions or named.version > versions[-1].version:
             # It may have been named at any time since the view was last current.
--- a/src/wheelslip/forwarding/worker_pool.py
+++ b/src/wheelslip/forwarding/worker_pool.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wheelslip.deployment import AnswerMetadata, Incarnation, WorkerInfo
+from wheelslip.deployment import Incarnation, ResponseMetadata, WorkerInfo
 from wheelslip.forwarding.http_client import HttpConnection, connect
 
 IDLE_MARGIN_SECONDS = 0.7
@@ -49,10 +49,10 @@
         )
 
     def release(
-        self, worker: WorkerInfo, connection: HttpConnection, answer: AnswerMetadata
+        self, worker: WorkerInfo, connection: HttpConnection, answer: ResponseMetadata
     ) -> None:
         """Take a connection back after a whole answer, or close it."""
-        if answer.closes or not connection.reusable:
+        if answer.closes_connection or not connection.reusable:
             connection.close()
             return
         kept = answer.keep_alive_seconds
--- a/src/wheelslip/http_service.py
+++ b/src/wheelslip/http_service.py
@@ -87,7 +87,7 @@
 
 def error_response(error: WheelslipError, request_id: str | None = None) -> ServiceResponse:
     """Return the response to ``error`` according to the error table."""
-    response = json_response(error.body(request_id), error.answer.status)
+    response = json_response(error.body(request_id), error.definition.status)
     if error.retry_after_seconds is not None:
         # Retry-After is in whole seconds; round up so that callers do not retry too early.
         response.headers["Retry-After"] = str(max(1, -int(-error.retry_after_seconds // 1)))
--- a/src/wheelslip/platform/headers.py
+++ b/src/wheelslip/platform/headers.py
@@ -4,12 +4,12 @@
 from collections.abc import Iterable
 
 from wheelslip.deployment import (
-    AnswerMetadata,
     Dispatch,
     ForwardedRequest,
     Headers,
     PromptPart,
     RequestMetadata,
+    ResponseMetadata,
 )
 
 REQUEST_ID = b"Wheelslip-Request-Id"
@@ -133,20 +133,20 @@
                 headers.append((KV_SAVE, dispatch.cache.save_to.encode()))
         return headers
 
-    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> AnswerMetadata:
+    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
         """Read a worker's answer (PROTOCOL, "Answers", "Workers")."""
         values = {name.lower(): value.decode("latin-1") for name, value in headers}
         version = values.get(_VERSIONS, "")
         limit = values.get(_RATE_LIMIT)
         rate = _rate(limit)
-        return AnswerMetadata(
+        return ResponseMetadata(
             request_id=values.get(REQUEST_ID.lower()),
             signed=_SIGNATURE in values,
             not_executed=_NOT_EXECUTED in values,
             instance=values.get(_INSTANCE),
             weights_version=int(version) if version.isdigit() else None,
             keep_alive_seconds=_keep_alive(values.get(b"keep-alive", "")),
-            closes="close" in values.get(b"connection", "").lower(),
+            closes_connection="close" in values.get(b"connection", "").lower(),
             leaving=values.get(_LEAVING, "").strip() == "1",
             retry_seconds=_seconds(values.get(_RETRY_AFTER, "")),
             rate_limit=rate,
--- a/src/wheelslip/platform/registry.py
+++ b/src/wheelslip/platform/registry.py
@@ -9,8 +9,8 @@
 from wheelslip.deployment import (
     CacheStore,
     CallerLimits,
+    DesiredWeights,
     EngineProfile,
-    NamedWeights,
     Route,
     RouteKind,
     RoutingConfiguration,
@@ -151,14 +151,14 @@
 
     def decode(
         self, key: str, value: bytes
-    ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
+    ) -> RoutingConfiguration | WorkerInfo | DesiredWeights | UnusableEntry | None:
         """Return the typed content of one key (`op/config`, `op/version/MODEL`, `servers/ID`)."""
         try:
             if key == CONFIGURATION_KEY:
                 return _configuration(msgspec.json.decode(value, type=_Configuration))
             if key.startswith(WEIGHTS_PREFIX):
                 named = msgspec.json.decode(value, type=_NamedVersion)
-                return NamedWeights(named.model_id, named.version)
+                return DesiredWeights(named.model_id, named.version)
             if key.startswith(WORKER_PREFIX):
                 return self._worker(key, value)
         except (ValueError, KeyError, RecursionError) as error:
--- a/src/wheelslip/platform/workers.py
+++ b/src/wheelslip/platform/workers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from wheelslip.deployment import AnswerMetadata, WorkerInfo
+from wheelslip.deployment import ResponseMetadata, WorkerInfo
 from wheelslip.forwarding.answer_notices import AnswerSource
 from wheelslip.forwarding.control_calls import ControlAnswer, ControlCalls
 from wheelslip.forwarding.interface import WeightsOrder, WorkerReport, WorkerUnreachable
@@ -34,7 +34,7 @@
     def __init__(self):
         self._dialect = PlatformHeaders()
         self._calls = ControlCalls(self._dialect)
-        self.on_answer: Callable[[WorkerInfo, int, AnswerMetadata, AnswerSource], None] = (
+        self.on_answer: Callable[[WorkerInfo, int, ResponseMetadata, AnswerSource], None] = (
             lambda worker, status, metadata, source: None
         )
 
--- a/src/wheelslip/stopping.py
+++ b/src/wheelslip/stopping.py
@@ -34,17 +34,17 @@
                 self._running -= 1
                 self._changed.notify_all()
 
-    def drain(self, give_up_at: float) -> int:
+    def drain(self, deadline: float) -> int:
         """Refuse new requests after the lame-duck period and wait for the running ones.
 
-        :param give_up_at: on the monotonic clock.
+        :param deadline: on the monotonic clock.
         :return: number of requests still running at the deadline.
         """
         self.stopping = True
-        time.sleep(min(LAME_DUCK_SECONDS, max(0.0, give_up_at - time.monotonic())))
+        time.sleep(min(LAME_DUCK_SECONDS, max(0.0, deadline - time.monotonic())))
         self.refuses_new = True
         with self._changed:
             self._changed.wait_for(
-                lambda: self._running == 0, max(0.0, give_up_at - time.monotonic())
+                lambda: self._running == 0, max(0.0, deadline - time.monotonic())
             )
             return self._running
--- a/tests/unit/forwarding/test_platform_headers.py
+++ b/tests/unit/forwarding/test_platform_headers.py
@@ -111,7 +111,11 @@
         ]
     )
     assert answer.request_id == "r1" and answer.not_executed and not answer.signed
-    assert answer.weights_version == 4 and answer.keep_alive_seconds == 5.0 and answer.closes
+    assert (
+        answer.weights_version == 4
+        and answer.keep_alive_seconds == 5.0
+        and answer.closes_connection
+    )
 
 
 def test_an_answer_says_that_its_worker_leaves_and_when_to_come_back():
--- a/tests/unit/test_clocks.py
+++ b/tests/unit/test_clocks.py
@@ -35,7 +35,7 @@
     assert time.monotonic() - monotonic < 50.0
 
 
-def test_timers_that_fell_due_in_a_suspension_run_at_the_next_wake_in_their_order(suspension):
+def test_timers_due_in_a_suspension_run_in_order_at_the_next_wake(suspension):
     calls = []
 
     async def wait():
