--- a/src/wheelslip/forwarding/control_calls.py
+++ b/src/wheelslip/forwarding/control_calls.py
@@ -71,7 +71,7 @@
         self, worker: WorkerInfo, connection: HttpConnection, response: h11.Response
     ) -> None:
         """Keep a connection open for the next call, or close it if it cannot be reused."""
-        closes = self._dialect.decode_answer(response.headers).closes
+        closes = self._dialect.decode_answer(response.headers).closes_connection
         self._idle = {key: idle for key, idle in self._idle.items() if idle.open}
         if closes or not connection.reusable or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
--- a/src/wheelslip/forwarding/interface.py
+++ b/src/wheelslip/forwarding/interface.py
@@ -8,12 +8,12 @@
 from typing import Protocol
 
 from wheelslip.deployment import (
-    AnswerMetadata,
+    DesiredWeights,
     Dispatch,
     ForwardedRequest,
     Headers,
-    NamedWeights,
     RequestMetadata,
+    ResponseMetadata,
     RoutingConfiguration,
     UnusableEntry,
     WorkerInfo,
@@ -37,7 +37,7 @@
     def own_answer_headers(self, request_id: str | None) -> Headers:
         """Return the headers that the node adds to every response that it generates itself."""
 
-    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> AnswerMetadata:
+    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
         """Decode the headers of a worker's response; names are in lower case."""
 
 
@@ -46,7 +46,7 @@
 
     def decode(
         self, key: str, value: bytes
-    ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
+    ) -> RoutingConfiguration | WorkerInfo | DesiredWeights | UnusableEntry | None:
         """Return the decoded document under a key; None if the key has another purpose."""
 
     def worker_id(self, key: str) -> str | None:
@@ -134,7 +134,7 @@
     :ivar on_answer: called with the status and the metadata of each response.
     """
 
-    on_answer: Callable[[WorkerInfo, int, AnswerMetadata, AnswerSource], None]
+    on_answer: Callable[[WorkerInfo, int, ResponseMetadata, AnswerSource], None]
 
     async def report(self, worker: WorkerInfo) -> WorkerReport:
         """Request the status report of a worker.
--- a/src/wheelslip/platform/registry.py
+++ b/src/wheelslip/platform/registry.py
@@ -8,8 +8,8 @@
 from wheelslip.deployment import (
     CacheStore,
     CallerLimits,
+    DesiredWeights,
     EngineProfile,
-    NamedWeights,
     Route,
     RouteKind,
     RoutingConfiguration,
@@ -150,14 +150,14 @@
 
     def decode(
         self, key: str, value: bytes
-    ) -> RoutingConfiguration | WorkerInfo | NamedWeights | UnusableEntry | None:
+    ) -> RoutingConfiguration | WorkerInfo | DesiredWeights | UnusableEntry | None:
         """Return the record of `op/config`, `op/version/MODEL` or `servers/ID`, else ``None``."""
         try:
             if key == CONFIGURATION_KEY:
                 return _configuration(msgspec.json.decode(value, type=_Configuration))
             if key.startswith(WEIGHTS_PREFIX):
                 named = msgspec.json.decode(value, type=_NamedVersion)
-                return NamedWeights(named.model_id, named.version)
+                return DesiredWeights(named.model_id, named.version)
             if key.startswith(WORKER_PREFIX):
                 return self._decode_worker(key, value)
         except (ValueError, KeyError, RecursionError) as error:
--- a/tests/unit/forwarding/test_platform_headers.py
+++ b/tests/unit/forwarding/test_platform_headers.py
@@ -111,7 +111,11 @@
         ]
     )
     assert answer.request_id == "r1" and answer.not_executed and not answer.signed
-    assert answer.weights_version == 4 and answer.keep_alive_seconds == 5.0 and answer.closes
+    assert (
+        answer.weights_version == 4
+        and answer.keep_alive_seconds == 5.0
+        and answer.closes_connection
+    )
 
 
 def test_leaving_and_retry_after_headers_are_decoded():
