--- a/tests/probe/test_configuration.py
+++ b/tests/probe/test_configuration.py
@@ -118,10 +118,12 @@
             error = responses[node].json()["error"]
             assert error["code"] == "configuration_conflict"
             assert f"change-{round_number}-{accepted[0]}" in error["message"]
-        wanted = round_number * 10 + int(accepted[0][-1])
+        accepted_deadline = round_number * 10 + int(accepted[0][-1])
         for node in cluster.nodes:
             wait_until(
-                lambda node=node, wanted=wanted: deadline_at(cluster, node, "raced") == wanted,
+                lambda node=node, accepted_deadline=accepted_deadline: (
+                    deadline_at(cluster, node, "raced") == accepted_deadline
+                ),
                 f"the accepted change is in force at {node}",
                 IN_FORCE_SECONDS,
             )
@@ -139,7 +141,7 @@
         target=lambda: responses.append(apply_raw(cluster, "node-1", "lost", 7, expected, "lost-1"))
     )
     operator.start()
-    wait_until(lambda: proxy.lost_answers >= 1, "the answer is lost")
+    wait_until(lambda: proxy.lost_answers >= 1, "the response is lost")
     proxy.fault = Fault.PASS
     operator.join(30)
     (response,) = responses
@@ -170,7 +172,7 @@
     proxy.fault = Fault.LOSE_ANSWER
     lost_before = proxy.lost_answers
     operator.start()
-    wait_until(lambda: proxy.lost_answers > lost_before, "the answer is lost")
+    wait_until(lambda: proxy.lost_answers > lost_before, "the response is lost")
     proxy.fault = Fault.BLACKHOLE
     operator.join(60)
     assert second[0].json()["error"]["code"] == "configuration_outcome_unknown", second[0].data
