--- a/src/wheelslip/operators/configuration.py
+++ b/src/wheelslip/operators/configuration.py
@@ -136,11 +136,13 @@
         workload = self.workloads.get(name)
         if workload is not None:
             return workload
-        matching = [workload for workload in self.workloads.values() if workload.spec.model == name]
-        matching = [workload for workload in matching if workload.spec.repeatable]
+        matching = [
+            candidate for candidate in self.workloads.values() if candidate.spec.model == name
+        ]
+        matching = [candidate for candidate in matching if candidate.spec.repeatable]
         return min(
             matching,
-            key=lambda workload: (workload.spec.service_class, workload.name),
+            key=lambda candidate: (candidate.spec.service_class, candidate.name),
             default=None,
         )
 
