--- a/src/wheelslip/operators/holder.py
+++ b/src/wheelslip/operators/holder.py
@@ -2,7 +2,8 @@
 
 Revisions only increase. A state is *held* as soon as it is stored here and *in force* when
 requests are served under it. The two steps are separate so that a new state can be replicated
-to peers first: a crash during an outage of the key-value service then does not revert it.
+to peers first: if one received it, a crash of this node during an outage of the key-value
+service does not revert it.
 """
 
 from collections import deque
