--- a/src/wheelslip/cli.py
+++ b/src/wheelslip/cli.py
@@ -15,7 +15,7 @@
 from wheelslip import __version__
 from wheelslip.events import configure_logging
 from wheelslip.node import Node
-from wheelslip.operators.client import OperatorClient, OperatorRefused, OutcomeUnknown
+from wheelslip.operators.client import OperatorClient, OperatorRequestRefused, OutcomeUnknown
 from wheelslip.operators.declarations import DrainSpec, Kind, ObjectKey, PolicySpec, check_spec
 from wheelslip.operators.files import DeclarationsInvalid, read_declarations
 from wheelslip.operators.policy import PolicyError, PolicyProgram, failed_cases
@@ -252,7 +252,7 @@
 def _call(function, *arguments):
     try:
         return function(*arguments)
-    except OperatorRefused as exc:
+    except OperatorRequestRefused as exc:
         _fail(EXIT_REFUSED, f"refused ({exc.kind}): {exc}")
     except OutcomeUnknown as exc:
         _fail(EXIT_UNKNOWN, f"unknown outcome: {exc}")
