--- a/src/wheelslip/callers/__init__.py
+++ b/src/wheelslip/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The caller API: OpenAI-compatible requests, claims, streams."""
+"""The OpenAI-compatible caller API: admission, claims, attempts and streaming."""
--- a/src/wheelslip/callers/admission.py
+++ b/src/wheelslip/callers/admission.py
@@ -1,4 +1,4 @@
-"""Admission: who is calling, which workload, within which limits, under which policy."""
+"""Admission of requests: authentication, workload lookup, tenant limits and policies."""
 
 import hashlib
 import threading
@@ -27,13 +27,14 @@
 
 
 def authenticate(configuration: Configuration, authorization: str | None) -> Tenant:
-    """Return the tenant of a bearer key.
+    """Return the tenant that a bearer key authenticates.
 
-    :raises WheelslipError: ``authentication_failed``.
+    :param authorization: the ``Authorization`` header, or ``None`` when it is absent.
+    :raises WheelslipError: ``authentication_failed``, when the key is missing or unknown.
     """
     scheme, _, key = (authorization or "").partition(" ")
     if scheme.lower() != "bearer" or not key:
-        raise WheelslipError(ErrorKind.AUTHENTICATION_FAILED, "Authorization: no bearer key")
+        raise WheelslipError(ErrorKind.AUTHENTICATION_FAILED, "Authorization: missing bearer key")
     digest = hashlib.sha256(key.strip().encode()).hexdigest()
     tenant = configuration.tenant_of(f"sha256:{digest}")
     if tenant is None:
@@ -42,9 +43,10 @@
 
 
 def find_workload(configuration: Configuration, request: CompletionRequest) -> Workload:
-    """Return the workload that a request names.
+    """Return the workload for a request's model.
 
-    :raises WheelslipError: when there is none, or the request does not fit it.
+    :raises WheelslipError: when no workload serves the model, ``max_tokens`` exceeds the
+        workload's limit, or a required ``Idempotency-Key`` is missing.
     """
     workload = configuration.workload_for(request.model)
     if workload is None:
@@ -52,7 +54,7 @@
         raise WheelslipError(ErrorKind.MODEL_NOT_FOUND, message)
     if request.max_tokens > workload.spec.max_output_tokens:
         limit = workload.spec.max_output_tokens
-        message = f"max_tokens: {request.max_tokens} is over the workload's {limit}"
+        message = f"max_tokens: {request.max_tokens} exceeds the workload's limit of {limit}"
         raise WheelslipError(ErrorKind.INVALID_REQUEST, message)
     if not workload.spec.repeatable and request.idempotency_key is None:
         message = f"Idempotency-Key: required by workload {workload.name!r}"
@@ -62,15 +64,17 @@
 
 @dataclass
 class _TenantUsage:
+    """One tenant's rate limiters and the number of its open streams."""
+
     requests: TokenBucket
     tokens: TokenBucket
     streams: int = 0
 
 
 class TenantLimiter:
-    """Holds a tenant's limits at this node; each node has a share of the whole limit.
+    """Enforces this node's share of each tenant's limits.
 
-    :param share: returns this node's share of a tenant's limits, from 0 to 1.
+    :param share: returns the fraction of a tenant's limits that this node may use, from 0 to 1.
     """
 
     def __init__(self, share: Callable[[str], float]):
@@ -79,9 +83,9 @@
         self._lock = threading.Lock()
 
     def admit(self, tenant: Tenant, tokens: int, now: float) -> None:
-        """Count one request and its tokens, and open a stream.
+        """Charge one request and its tokens to a tenant, and count an open stream.
 
-        :raises WheelslipError: ``tenant_limit_exceeded`` naming the limit.
+        :raises WheelslipError: ``tenant_limit_exceeded``, naming the exceeded limit.
         """
         limits = tenant.spec.limits
         with self._lock:
@@ -92,13 +96,13 @@
                 if usage.streams >= allowed:
                     _refuse(tenant, "concurrent_streams", 1.0)
             if limits.requests_per_second is not None:
-                _refuse_if(usage.requests.acquire(1, now), tenant, "requests_per_second")
+                _refuse_if_limited(usage.requests.acquire(1, now), tenant, "requests_per_second")
             if limits.tokens_per_second is not None:
-                _refuse_if(usage.tokens.acquire(tokens, now), tenant, "tokens_per_second")
+                _refuse_if_limited(usage.tokens.acquire(tokens, now), tenant, "tokens_per_second")
             usage.streams += 1
 
     def release(self, tenant: Tenant) -> None:
-        """Close a stream."""
+        """Stop counting one of the tenant's open streams."""
         with self._lock:
             self._usage[tenant.name].streams -= 1
 
@@ -118,23 +122,26 @@
 
 
 def _rate_and_burst(limits: TenantLimits, share: float, tokens: bool) -> tuple[float, float]:
+    """Return the rate per second and the burst size of the token or request limit."""
     limit = limits.tokens_per_second if tokens else limits.requests_per_second
     rate = (limit or 1.0) * share
     return rate, max(1.0, rate * limits.burst_seconds)
 
 
-def _refuse_if(seconds: float, tenant: Tenant, limit: str) -> None:
-    if seconds > 0:
-        _refuse(tenant, limit, seconds)
+def _refuse_if_limited(wait_seconds: float, tenant: Tenant, limit: str) -> None:
+    if wait_seconds > 0:
+        _refuse(tenant, limit, wait_seconds)
 
 
 def _refuse(tenant: Tenant, limit: str, retry_after_seconds: float) -> None:
-    message = f"tenant {tenant.name!r} is over its limit {limit}"
+    message = f"tenant {tenant.name!r} exceeds its limit {limit}"
     raise WheelslipError(ErrorKind.TENANT_LIMIT_EXCEEDED, message, retry_after_seconds)
 
 
 @dataclass
 class _ActivePolicy:
+    """A policy with its compiled program."""
+
     spec: PolicySpec
     program: PolicyProgram
     failing: bool = False
@@ -142,14 +149,21 @@
 
 @dataclass
 class PolicySet:
-    """The policies in force; each falls back to its last good decision for a workload."""
+    """The active policies.
+
+    When a policy program fails, its last successful decision for the workload is used.
+    """
 
     metrics: NodeMetrics
     _active: dict[str, _ActivePolicy] = field(default_factory=dict)
     _last_good: dict[tuple[str, str], PolicyDecision] = field(default_factory=dict)
 
     def update(self, configuration: Configuration) -> None:
-        """Take the policies of a new configuration; unchanged programs are kept."""
+        """Apply the policies of a new configuration.
+
+        Unchanged policies keep their compiled program. A policy that does not compile
+        keeps its previous version, if there is one.
+        """
         active = {}
         for name, spec in configuration.policies.items():
             current = self._active.get(name)
@@ -159,49 +173,54 @@
             try:
                 active[name] = _ActivePolicy(spec, PolicyProgram(name, spec.program))
             except PolicyError as error:
-                self._report(name, error)
+                self._report_failure(name, error)
                 if current is not None:
                     active[name] = current
         self._active = active
 
     def decide(self, call: Call, counts: RouterCounts) -> PolicyDecision:
-        """Return the decision of the first policy that names the call's workload."""
+        """Return the decision of the first policy that applies to the call's workload.
+
+        A policy without a list of workloads applies to all of them. The default decision is
+        returned when no policy applies, or the policy fails and has no earlier decision.
+        """
         workload = call.workload.name
         for name, active in self._active.items():
             if active.spec.workloads and workload not in active.spec.workloads:
                 continue
             try:
-                decision = active.program.decide(_facts(call, counts))
+                decision = active.program.decide(_policy_facts(call, counts))
             except PolicyError as error:
-                self._report(name, error)
+                self._report_failure(name, error)
                 return self._last_good.get((name, workload), DEFAULT_DECISION)
             self._last_good[(name, workload)] = decision
             return decision
         return DEFAULT_DECISION
 
-    def _report(self, name: str, error: PolicyError) -> None:
+    def _report_failure(self, name: str, error: PolicyError) -> None:
         self.metrics.policy_failures.labels(name).inc()
         log_event(LogEvent.POLICY_FAILED, policy=name, reason=str(error))
 
 
 def apply_policy(policies: PolicySet, call: Call, counts: RouterCounts) -> None:
-    """Let the policies decide on a call.
+    """Evaluate the policies for a call and store the decision in it.
 
-    :raises WheelslipError: ``policy_refused``.
+    :raises WheelslipError: ``policy_refused``, when the decision is to refuse the request.
     """
     decision = policies.decide(call, counts)
     if decision.action is PolicyAction.REFUSE:
-        message = f"policy refuses workload {call.workload.name!r} for now"
+        message = f"policy currently refuses workload {call.workload.name!r}"
         raise WheelslipError(ErrorKind.POLICY_REFUSED, message, decision.retry_after_seconds)
     call.policy = decision
 
 
-def tokens_of(request: CompletionRequest) -> int:
-    """Return the tokens that a request counts for against its tenant's limit."""
+def charged_tokens(request: CompletionRequest) -> int:
+    """Return the tokens charged to the tenant's limit: the prompt plus ``max_tokens``."""
     return count_tokens(request.prompt_text) + request.max_tokens
 
 
-def _facts(call: Call, counts: RouterCounts) -> PolicyFacts:
+def _policy_facts(call: Call, counts: RouterCounts) -> PolicyFacts:
+    """Return the values that a policy program can read."""
     spec = call.workload.spec
     return PolicyFacts(
         request={
--- a/src/wheelslip/callers/answer.py
+++ b/src/wheelslip/callers/answer.py
@@ -1,4 +1,4 @@
-"""Answers to callers: reading engines' chunks, writing SSE, plain and kept answers."""
+"""Responses to callers: parses engine chunks and writes SSE streams and JSON completions."""
 
 import json
 from collections.abc import Generator, Iterator
@@ -16,7 +16,7 @@
 
 
 class Usage(msgspec.Struct):
-    """Token counts of one answer."""
+    """Token counts of one response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -24,7 +24,7 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Prompt tokens that the engine had cached."""
+        """Prompt tokens that the engine served from its prefix cache."""
         return self.prompt_tokens_details.cached_tokens if self.prompt_tokens_details else 0
 
 
@@ -38,16 +38,18 @@
     finish_reason: str | None = None
 
 
-class _Chunk(msgspec.Struct):
+class _EngineChunk(msgspec.Struct):
     choices: list[_Choice] = []
     usage: Usage | None = None
 
 
 @dataclass(frozen=True)
-class AnswerPart:
-    """One event of an answer, with what the node needs to know of it.
+class CompletionChunk:
+    """One chunk of a streamed completion, with the fields that the node uses.
 
-    :param data: the chunk's JSON as it goes to the caller.
+    :ivar data: the chunk's JSON as forwarded to the caller.
+    :ivar text: generated text in the chunk; empty when there is none.
+    :ivar usage: token counts, sent by engines at the end of a response.
     """
 
     data: bytes
@@ -56,84 +58,86 @@
     usage: Usage | None = None
 
 
-_decode_chunk = msgspec.json.Decoder(_Chunk).decode
+_decode_chunk = msgspec.json.Decoder(_EngineChunk).decode
 
 
-def read_part(data: bytes) -> AnswerPart:
-    """Return an engine's chunk as a part.
+def parse_chunk(data: bytes) -> CompletionChunk:
+    """Parse the JSON of an engine's completion chunk.
 
-    :raises msgspec.MsgspecError: when it is not a completion chunk.
+    :raises msgspec.MsgspecError: when the data is not a completion chunk.
     """
     chunk = _decode_chunk(data)
     if not chunk.choices:
-        return AnswerPart(data, usage=chunk.usage)
+        return CompletionChunk(data, usage=chunk.usage)
     choice = chunk.choices[0]
     text = (choice.delta.content if choice.delta else choice.text) or ""
-    return AnswerPart(data, text, choice.finish_reason, chunk.usage)
+    return CompletionChunk(data, text, choice.finish_reason, chunk.usage)
 
 
-class AnswerWriter:
-    """Builds chunks and whole answers under the caller's own request id."""
+class CompletionWriter:
+    """Writes the chunks and the JSON document of a completion, under one request id."""
 
     def __init__(self, request: CompletionRequest, request_id: str, created: int):
         self._request = request
         self._id = ("chatcmpl-" if request.chat else "cmpl-") + request_id
         self._created = created
 
-    def event_stream(self, parts: Generator[AnswerPart]) -> Iterator[bytes]:
-        """Yield an SSE body; it ends in a done event or in an explicit error event."""
+    def event_stream(self, chunks: Generator[CompletionChunk]) -> Iterator[bytes]:
+        """Yield the SSE body of a stream, which ends in ``[DONE]`` or in an ``error`` event."""
         event_id = 0
         try:
-            for part in parts:
-                if part.usage is not None and not part.text and not self._request.include_usage:
+            for chunk in chunks:
+                if chunk.usage is not None and not chunk.text and not self._request.include_usage:
                     continue
                 event_id += 1
-                yield b"id: %d\ndata: %s\n\n" % (event_id, part.data)
+                yield b"id: %d\ndata: %s\n\n" % (event_id, chunk.data)
         except WheelslipError as error:
             body = json.dumps(error.body(self._id)).encode()
             yield b"id: %d\nevent: error\ndata: %s\n\n" % (event_id + 1, body)
             return
         finally:
-            parts.close()
+            chunks.close()
         yield b"id: %d\ndata: [DONE]\n\n" % (event_id + 1)
 
-    def whole(self, parts: Iterator[AnswerPart]) -> dict:
-        """Return a plain answer made of all parts."""
-        return self._whole_answer(collect(parts))
+    def completion(self, chunks: Iterator[CompletionChunk]) -> dict:
+        """Return the completion document of a request that is not streamed."""
+        return self._completion_document(merge_chunks(chunks))
 
-    def parts_of_kept(self, answer: KeptAnswer) -> Iterator[AnswerPart]:
-        """Yield a kept answer as parts, so that it can be streamed again."""
+    def replay(self, response: KeptAnswer) -> Iterator[CompletionChunk]:
+        """Yield a stored response as chunks, for a repeated request."""
         usage = Usage(
-            answer.prompt_tokens,
-            answer.completion_tokens,
-            _PromptDetails(answer.cached_tokens),
+            response.prompt_tokens,
+            response.completion_tokens,
+            _PromptDetails(response.cached_tokens),
         )
-        yield AnswerPart(self._chunk(answer.text, None), answer.text)
-        yield AnswerPart(self._chunk("", answer.finish_reason), "", answer.finish_reason)
-        yield AnswerPart(self._usage_chunk(answer), usage=usage)
+        yield CompletionChunk(self._encode_chunk(response.text, None), response.text)
+        yield CompletionChunk(
+            self._encode_chunk("", response.finish_reason), "", response.finish_reason
+        )
+        yield CompletionChunk(self._encode_usage_chunk(response), usage=usage)
 
-    def _chunk(self, text: str, finish_reason: str | None) -> bytes:
+    def _encode_chunk(self, text: str, finish_reason: str | None) -> bytes:
         if self._request.chat:
             delta = {"role": "assistant", "content": text} if text else {}
             choice = {"index": 0, "delta": delta, "finish_reason": finish_reason}
         else:
             choice = {"index": 0, "text": text, "finish_reason": finish_reason}
-        return json.dumps(self._head(chunk=True) | {"choices": [choice]}).encode()
+        return json.dumps(self._envelope(chunk=True) | {"choices": [choice]}).encode()
 
-    def _usage_chunk(self, answer: KeptAnswer) -> bytes:
-        document = self._head(chunk=True) | {"choices": [], "usage": _usage_document(answer)}
+    def _encode_usage_chunk(self, response: KeptAnswer) -> bytes:
+        document = self._envelope(chunk=True) | {"choices": [], "usage": _usage_document(response)}
         return json.dumps(document).encode()
 
-    def _whole_answer(self, answer: KeptAnswer) -> dict:
-        choice: dict[str, object] = {"index": 0, "finish_reason": answer.finish_reason}
+    def _completion_document(self, response: KeptAnswer) -> dict:
+        choice: dict[str, object] = {"index": 0, "finish_reason": response.finish_reason}
         if self._request.chat:
-            choice["message"] = {"role": "assistant", "content": answer.text}
+            choice["message"] = {"role": "assistant", "content": response.text}
         else:
-            choice["text"] = answer.text
-        usage = _usage_document(answer)
-        return self._head(chunk=False) | {"choices": [choice], "usage": usage}
+            choice["text"] = response.text
+        usage = _usage_document(response)
+        return self._envelope(chunk=False) | {"choices": [choice], "usage": usage}
 
-    def _head(self, chunk: bool) -> dict:
+    def _envelope(self, chunk: bool) -> dict:
         if self._request.chat:
             kind = "chat.completion.chunk" if chunk else "chat.completion"
         else:
@@ -146,15 +150,15 @@
         }
 
 
-def collect(parts: Iterator[AnswerPart]) -> KeptAnswer:
-    """Return all parts of an answer as one."""
+def merge_chunks(chunks: Iterator[CompletionChunk]) -> KeptAnswer:
+    """Merge the chunks of a completion into one response that can be stored."""
     texts = []
     finish_reason = ""
     usage = Usage()
-    for part in parts:
-        texts.append(part.text)
-        finish_reason = part.finish_reason or finish_reason
-        usage = part.usage or usage
+    for chunk in chunks:
+        texts.append(chunk.text)
+        finish_reason = chunk.finish_reason or finish_reason
+        usage = chunk.usage or usage
     return KeptAnswer(
         "".join(texts),
         finish_reason,
@@ -164,10 +168,11 @@
     )
 
 
-def _usage_document(answer: KeptAnswer) -> dict:
+def _usage_document(response: KeptAnswer) -> dict:
+    """Return the ``usage`` object of the OpenAI API."""
     return {
-        "prompt_tokens": answer.prompt_tokens,
-        "completion_tokens": answer.completion_tokens,
-        "total_tokens": answer.prompt_tokens + answer.completion_tokens,
-        "prompt_tokens_details": {"cached_tokens": answer.cached_tokens},
+        "prompt_tokens": response.prompt_tokens,
+        "completion_tokens": response.completion_tokens,
+        "total_tokens": response.prompt_tokens + response.completion_tokens,
+        "prompt_tokens_details": {"cached_tokens": response.cached_tokens},
     }
--- a/src/wheelslip/callers/app.py
+++ b/src/wheelslip/callers/app.py
@@ -1,4 +1,4 @@
-"""The caller API: paths, answers, metrics. One handler a path."""
+"""HTTP application of the caller API: routing, completions, health and metrics."""
 
 import time
 import uuid
@@ -10,10 +10,10 @@
     TenantLimiter,
     apply_policy,
     authenticate,
+    charged_tokens,
     find_workload,
-    tokens_of,
 )
-from wheelslip.callers.answer import AnswerPart, AnswerWriter
+from wheelslip.callers.answer import CompletionChunk, CompletionWriter
 from wheelslip.callers.call import CHAT_PATH, COMPLETION_PATH, Call, RelayServices
 from wheelslip.callers.claimed_relay import ClaimedRelay
 from wheelslip.callers.relay import RepeatableRelay
@@ -36,10 +36,10 @@
 
 @dataclass
 class CallerServices:
-    """What the caller API needs from the node.
+    """Services of the node that the caller API uses.
 
-    :param configuration: returns the configuration in force, or ``None``.
-    :param refresh_metrics: brings the gauges up to date before they are read.
+    :ivar configuration: returns the active configuration, or ``None`` before one is loaded.
+    :ivar refresh_metrics: updates the gauges before the metrics are exported.
     """
 
     relay: RelayServices
@@ -52,7 +52,7 @@
 
 
 class CallerApp:
-    """Answers callers."""
+    """Handles requests to the caller API."""
 
     def __init__(self, services: CallerServices):
         self._services = services
@@ -66,84 +66,88 @@
         }
 
     def handle(self, request: ServiceRequest) -> ServiceResponse:
-        """Answer one request."""
+        """Return the response to one request; errors become error responses."""
         request_id = uuid.uuid4().hex
         try:
             handler = self._routes.get((request.method, request.path))
             if handler is None:
-                raise _no_route(request, {path for _, path in self._routes})
+                raise _route_error(request, {path for _, path in self._routes})
             return handler(request, request_id)
         except WheelslipError as error:
             return error_response(error, request_id)
-        except Exception as error:  # a fault of ours must not pass as a broken connection
+        except Exception as error:  # report internal faults as errors, not dropped connections
             log_event(LogEvent.REQUEST_FAULT, request=request_id, reason=repr(error))
             fault = WheelslipError(ErrorKind.INTERNAL_ERROR, "internal error")
             return error_response(fault, request_id)
 
     def _chat(self, request: ServiceRequest, request_id: str) -> ServiceResponse:
-        return self._complete(request, request_id, chat=True)
+        return self._handle_completion(request, request_id, chat=True)
 
     def _completion(self, request: ServiceRequest, request_id: str) -> ServiceResponse:
-        return self._complete(request, request_id, chat=False)
+        return self._handle_completion(request, request_id, chat=False)
 
-    def _complete(self, request: ServiceRequest, request_id: str, chat: bool) -> ServiceResponse:
+    def _handle_completion(
+        self, request: ServiceRequest, request_id: str, chat: bool
+    ) -> ServiceResponse:
         arrived = time.monotonic()
         services = self._services
         if services.stop_state.refuses_new:
             raise WheelslipError(ErrorKind.NODE_STOPPING, "this node is stopping")
         configuration = self._configuration()
         tenant = authenticate(configuration, request.headers.get("authorization"))
-        parsed = parse_completion(request, chat)
-        workload = find_workload(configuration, parsed)
-        call = Call(request_id, parsed, tenant, workload, arrived)
+        completion = parse_completion(request, chat)
+        workload = find_workload(configuration, completion)
+        call = Call(request_id, completion, tenant, workload, arrived)
         try:
             apply_policy(services.policies, call, services.relay.router.counts)
-            services.limiter.admit(tenant, tokens_of(parsed), arrived)
+            services.limiter.admit(tenant, charged_tokens(completion), arrived)
         except WheelslipError as error:
-            self._count(call, error.kind.value)
+            self._record_outcome(call, error.kind.value)
             raise
-        return self._answer(call)
+        return self._respond(call)
 
-    def _answer(self, call: Call) -> ServiceResponse:
-        writer = AnswerWriter(call.request, call.request_id, int(time.time()))
-        parts = self._observed(call, self._parts(call, writer))
+    def _respond(self, call: Call) -> ServiceResponse:
+        writer = CompletionWriter(call.request, call.request_id, int(time.time()))
+        chunks = self._with_metrics(call, self._chunks(call, writer))
         headers = {"X-Request-Id": call.request_id}
         if not call.request.stream:
-            return json_response(writer.whole(parts), 200, **headers)
-        # The first part decides between an error status and a stream.
-        first = next(parts)
-        body = writer.event_stream(_chain(first, parts))
+            return json_response(writer.completion(chunks), 200, **headers)
+        # An error before the first chunk can still be reported with an HTTP status.
+        first = next(chunks)
+        body = writer.event_stream(_prepend(first, chunks))
         return ServiceResponse(200, body, headers, EVENT_STREAM_TYPE)
 
-    def _parts(self, call: Call, writer: AnswerWriter) -> Iterator[AnswerPart]:
+    def _chunks(self, call: Call, writer: CompletionWriter) -> Iterator[CompletionChunk]:
         if call.request.idempotency_key is not None and not call.workload.spec.repeatable:
-            return ClaimedRelay(self._services.relay, call, writer).parts()
-        return RepeatableRelay(self._services.relay, call).parts()
+            return ClaimedRelay(self._services.relay, call, writer).chunks()
+        return RepeatableRelay(self._services.relay, call).chunks()
 
-    def _observed(self, call: Call, parts: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
-        """Yield ``parts``, counting the outcome and giving the stream back at the end."""
+    def _with_metrics(
+        self, call: Call, chunks: Iterator[CompletionChunk]
+    ) -> Iterator[CompletionChunk]:
+        """Yield ``chunks``, record metrics, and release the tenant's stream at the end."""
         services = self._services
         outcome = "caller_gone"
         first = True
         try:
             with services.stop_state.running_request():
-                for part in parts:
+                for chunk in chunks:
                     if first:
                         first = False
                         seconds = time.monotonic() - call.arrived
                         services.metrics.first_token.labels(call.workload.name).observe(seconds)
-                    if part.usage is not None:
-                        self._count_tokens(call, part)
-                    yield part
+                    if chunk.usage is not None:
+                        self._count_tokens(call, chunk)
+                    yield chunk
             outcome = "ok"
         except WheelslipError as error:
             outcome = error.kind.value
             raise
         finally:
             services.limiter.release(call.tenant)
-            self._count(call, outcome)
+            self._record_outcome(call, outcome)
 
-    def _count(self, call: Call, outcome: str) -> None:
+    def _record_outcome(self, call: Call, outcome: str) -> None:
         labels = (call.tenant.name, call.workload.name, outcome)
         self._services.metrics.requests.labels(*labels).inc()
         event = LogEvent.REQUEST_FINISHED if outcome == "ok" else LogEvent.REQUEST_REFUSED
@@ -157,11 +161,11 @@
             seconds=round(time.monotonic() - call.arrived, 4),
         )
 
-    def _count_tokens(self, call: Call, part: AnswerPart) -> None:
+    def _count_tokens(self, call: Call, chunk: CompletionChunk) -> None:
         counter = self._services.metrics.prompt_tokens
-        cached = part.usage.cached_tokens
+        cached = chunk.usage.cached_tokens
         counter.labels(call.workload.name, "yes").inc(cached)
-        counter.labels(call.workload.name, "no").inc(max(0, part.usage.prompt_tokens - cached))
+        counter.labels(call.workload.name, "no").inc(max(0, chunk.usage.prompt_tokens - cached))
 
     def _models(self, request: ServiceRequest, request_id: str) -> ServiceResponse:
         configuration = self._configuration()
@@ -189,19 +193,19 @@
     def _configuration(self) -> Configuration:
         configuration = self._services.configuration()
         if configuration is None:
-            raise WheelslipError(ErrorKind.NOT_READY, "no configuration is in force yet")
+            raise WheelslipError(ErrorKind.NOT_READY, "no configuration is loaded yet")
         return configuration
 
 
-def _no_route(request: ServiceRequest, paths: set[str]) -> WheelslipError:
+def _route_error(request: ServiceRequest, paths: set[str]) -> WheelslipError:
     if request.path in paths:
-        message = f"{request.path} does not take {request.method}"
+        message = f"{request.path} does not support {request.method}"
         return WheelslipError(ErrorKind.METHOD_NOT_ALLOWED, message)
-    return WheelslipError(ErrorKind.PATH_NOT_FOUND, f"no path {request.path}")
+    return WheelslipError(ErrorKind.PATH_NOT_FOUND, f"path {request.path} does not exist")
 
 
-def _chain(first: AnswerPart, rest: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
-    """Yield one part and then the rest, closing the rest when this is closed."""
+def _prepend(first: CompletionChunk, rest: Iterator[CompletionChunk]) -> Iterator[CompletionChunk]:
+    """Yield ``first`` and then ``rest``; closing this generator closes ``rest``."""
     try:
         yield first
         yield from rest
--- a/src/wheelslip/callers/attempt.py
+++ b/src/wheelslip/callers/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt of a request on one engine, resumed there as often as needed.
+"""One attempt of a request at one engine, resumed there after connection failures.
 
-An attempt ends in one of three ways: its whole stream, :class:`AttemptNotRun` (proven),
-or :class:`AttemptLost` (it may have run, wholly or in part).
+An attempt ends with its complete stream, or with a subclass of :class:`AttemptFailed` that
+states whether it is proven that the request did not run.
 """
 
 import time
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wheelslip.callers.answer import AnswerPart, read_part
+from wheelslip.callers.answer import CompletionChunk, parse_chunk
 from wheelslip.engines.client import (
     DONE_DATA,
     GONE,
@@ -19,27 +19,29 @@
     AttemptState,
     EngineClient,
     EngineError,
-    EngineNotReached,
     EngineRefused,
     EngineStream,
     EngineStreamLost,
+    EngineUnreachable,
 )
 from wheelslip.events import LogEvent, log_event
 from wheelslip.routing.model import EngineInfo
 
 MAX_RESUMES_WITHOUT_PROGRESS = 3
-"""Reconnections to an engine that answers them but sends no event, before giving up.
+"""Limit on successive resumes without a new event, after the first event.
 
-An engine that queues a request for long answers each resume at once; it is the engine
-that does not answer the resume itself that is lost at the first try.
+A resume request that fails is repeated once; if it fails again, the attempt is lost.
 """
 
-QUEUED_RESUMES = 300
-"""Reconnections while the first event is awaited: the request may wait in the engine."""
+MAX_RESUMES_BEFORE_FIRST_EVENT = 300
+"""Limit on resumes before the first event, while the engine may still queue the request."""
 
 
 class AttemptFailed(Exception):
-    """Base of the two ways in which an attempt fails."""
+    """Base of the exceptions that end an attempt.
+
+    :ivar reason: text for logs and error messages.
+    """
 
     def __init__(self, reason: str):
         super().__init__(reason)
@@ -47,10 +49,10 @@
 
 
 class AttemptNotRun(AttemptFailed):
-    """The attempt is proven not to have run, and never will.
+    """Raised when it is proven that the attempt did not run and never will.
 
-    :ivar stale: the engine was not what the decision assumed: another incarnation or
-        weights version. That is no fault of the engine.
+    :ivar stale: whether the engine refused because its incarnation or weights version
+        changed since it was selected. The engine itself has not failed then.
     """
 
     def __init__(self, reason: str, stale: bool = False):
@@ -59,9 +61,10 @@
 
 
 class AttemptLost(AttemptFailed):
-    """The attempt may have run.
+    """Raised when the attempt may have run, but its response is lost.
 
-    :ivar engine_dead: its incarnation is gone for good, so it cannot be asked again.
+    :ivar engine_dead: whether the engine's incarnation has ended or aborted the attempt, so
+        that the attempt cannot be resumed.
     """
 
     def __init__(self, reason: str, engine_dead: bool = False):
@@ -69,20 +72,24 @@
         self.engine_dead = engine_dead
 
 
-class AnswerGone(AttemptFailed):
-    """The attempt ran, but its engine no longer keeps the answer."""
+class ResponseExpired(AttemptFailed):
+    """Raised when the attempt ran, but its engine no longer stores the response."""
 
 
 @dataclass(frozen=True)
 class AttemptTarget:
-    """Which attempt on which engine."""
+    """An attempt id and the engine that it is sent to."""
 
     attempt_id: str
     engine: EngineInfo
 
 
 class Attempt:
-    """Reads one attempt's answer, over as many connections as it takes."""
+    """Reads the response of one attempt and resumes it when the connection fails.
+
+    :param on_load: called with the engine's name and its numbers of running and waiting
+        requests whenever a stream is opened.
+    """
 
     def __init__(
         self,
@@ -98,46 +105,51 @@
         self._on_load = on_load
         self._last_event_id = 0
 
-    def start(self, path: str, document: dict) -> Iterator[AnswerPart]:
-        """Send the request and yield its answer's parts in order.
+    def start(self, path: str, document: dict) -> Iterator[CompletionChunk]:
+        """Send the request and yield the chunks of its response in order.
 
-        :raises AttemptNotRun: it is proven that the engine did not run it.
-        :raises AttemptLost: the engine cannot say any more.
+        :raises AttemptNotRun: when it is proven that the engine did not run it.
+        :raises AttemptLost: when it may have run and cannot be resumed.
+        :raises ResponseExpired: when it ran, but the engine no longer stores the response.
         """
         try:
             stream = self._client.start(
                 self._target.engine, self._target.attempt_id, path, document
             )
-        except EngineNotReached as error:
+        except EngineUnreachable as error:
             raise AttemptNotRun(str(error)) from error
         except EngineRefused as error:
             stale = error.status == PRECONDITION_FAILED
             raise AttemptNotRun(str(error), stale) from error
         except EngineStreamLost as error:
             stream = self._resume(str(error))
-        yield from self._read(stream)
+        yield from self._read_stream(stream)
 
-    def join(self) -> Iterator[AnswerPart]:
-        """Yield the whole answer of an attempt that somebody else started.
+    def join(self) -> Iterator[CompletionChunk]:
+        """Yield the complete response of an attempt that was started elsewhere.
 
-        :raises AttemptFailed: as :meth:`start`; :class:`AnswerGone` when it is not kept.
+        :raises AttemptFailed: as for :meth:`start`.
         """
-        yield from self._read(self._resume("joined"))
+        yield from self._read_stream(self._resume("joined"))
 
-    def _read(self, stream: EngineStream) -> Iterator[AnswerPart]:
+    def _read_stream(self, stream: EngineStream) -> Iterator[CompletionChunk]:
         idle_resumes = 0
         while True:
             self._on_load(self._target.engine.name, stream.load.running, stream.load.waiting)
-            before = self._last_event_id
+            previous_event_id = self._last_event_id
             try:
                 for event in stream.events():
                     self._last_event_id = event.event_id
                     if event.data == DONE_DATA:
                         return
-                    yield read_part(event.data.replace(self._attempt_bytes, self._request_bytes))
+                    yield parse_chunk(event.data.replace(self._attempt_bytes, self._request_bytes))
             except (EngineStreamLost, msgspec.MsgspecError) as error:
-                idle_resumes = 0 if self._last_event_id > before else idle_resumes + 1
-                limit = MAX_RESUMES_WITHOUT_PROGRESS if self._last_event_id else QUEUED_RESUMES
+                idle_resumes = 0 if self._last_event_id > previous_event_id else idle_resumes + 1
+                limit = (
+                    MAX_RESUMES_WITHOUT_PROGRESS
+                    if self._last_event_id
+                    else MAX_RESUMES_BEFORE_FIRST_EVENT
+                )
                 if idle_resumes > limit:
                     raise AttemptLost(f"no progress: {error}") from error
                 stream = self._resume(str(error))
@@ -154,30 +166,33 @@
         try:
             return self._client.resume(target.engine, target.attempt_id, self._last_event_id)
         except EngineRefused as error:
-            return self._refused_resume(error, reason)
+            return self._handle_refused_resume(error, reason)
         except EngineError as error:
-            # One more try: the first may have met a connection that broke while pooled.
+            # Retry once: the pooled connection may have been closed by the engine.
             time.sleep(0.05)
             try:
                 return self._client.resume(target.engine, target.attempt_id, self._last_event_id)
             except EngineRefused as refused:
-                return self._refused_resume(refused, reason)
+                return self._handle_refused_resume(refused, reason)
             except EngineError:
                 raise AttemptLost(f"{reason}; resume: {error}") from error
 
-    def _refused_resume(self, error: EngineRefused, reason: str) -> EngineStream:
+    def _handle_refused_resume(self, error: EngineRefused, reason: str) -> EngineStream:
         if error.status == PRECONDITION_FAILED:
             raise AttemptLost(f"{reason}; engine was replaced", engine_dead=True) from error
         if error.status == GONE:
-            raise AnswerGone(f"{reason}; answer no longer kept") from error
+            raise ResponseExpired(f"{reason}; response no longer stored by the engine") from error
         if error.status == NOT_FOUND:
             self._prove_not_run(reason)
         raise AttemptLost(f"{reason}; resume refused: {error}") from error
 
     def _prove_not_run(self, reason: str) -> None:
-        """Ask for a tombstone: an attempt never seen is refused should it still arrive.
+        """Request a tombstone, so that the engine refuses the attempt if it arrives later.
+
+        Return without an error when the attempt is running or finished at the engine.
 
-        :raises AttemptNotRun: when the engine promises so.
+        :raises AttemptNotRun: when the engine confirms that the attempt did not run.
+        :raises AttemptLost: when the engine does not reply, was replaced or aborted it.
         """
         target = self._target
         try:
@@ -187,6 +202,6 @@
         except EngineError as error:
             raise AttemptLost(f"{reason}; tombstone: {error}") from error
         if state.proves_not_run:
-            raise AttemptNotRun(f"{reason}; engine never saw it")
+            raise AttemptNotRun(f"{reason}; the engine never received it")
         if state is AttemptState.ABORTED:
             raise AttemptLost(f"{reason}; aborted at the engine", engine_dead=True)
--- a/src/wheelslip/callers/call.py
+++ b/src/wheelslip/callers/call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the node, and what it needs from the node."""
+"""A caller's admitted request, and the node services used to relay it."""
 
 import random
 import time
@@ -18,13 +18,13 @@
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
 
-WAIT_PRIORITY = 10_000
-"""Added to the priority of a request that a policy makes wait."""
+WAIT_PRIORITY_OFFSET = 10_000
+"""Added to the queue priority of requests for which a policy returns ``wait``."""
 
 
 @dataclass
 class RelayServices:
-    """What relays of all requests share."""
+    """Services shared by the relays of all requests."""
 
     router: RouterTask
     engine_client: EngineClient
@@ -35,19 +35,19 @@
 
 
 @dataclass
-class Delivered:
-    """What the caller has of a repeatable answer, for continuing it elsewhere."""
+class DeliveredOutput:
+    """Output already sent to the caller, from which another engine can continue."""
 
     texts: list[str] = field(default_factory=list)
 
     @property
     def tokens(self) -> int:
-        """Tokens delivered: engines send one in each event with text."""
+        """Number of delivered tokens; each event with text has exactly one token."""
         return len(self.texts)
 
     @property
     def text(self) -> str:
-        """The text delivered."""
+        """The delivered text."""
         return "".join(self.texts)
 
 
@@ -55,7 +55,8 @@
 class Call:
     """One admitted request of a caller.
 
-    :param arrived: on the monotonic clock.
+    :ivar arrived: time of arrival, on the monotonic clock.
+    :ivar attempts: number of attempts started so far.
     """
 
     request_id: str
@@ -68,28 +69,31 @@
 
     @property
     def deadline(self) -> float:
-        """Latest time of the first token, on the monotonic clock."""
+        """Deadline for the first token, on the monotonic clock."""
         seconds = self.request.deadline_seconds or self.workload.spec.deadline_seconds
         return self.arrived + seconds
 
     @property
     def queue_priority(self) -> int:
-        """Priority in the node's queue; ``wait`` goes behind all that may run."""
-        waits = self.policy.action is PolicyAction.WAIT
-        return self.policy.priority + (WAIT_PRIORITY if waits else 0)
+        """Priority in the node's queue; requests with ``wait`` are queued behind all others."""
+        must_wait = self.policy.action is PolicyAction.WAIT
+        return self.policy.priority + (WAIT_PRIORITY_OFFSET if must_wait else 0)
 
     @property
     def path(self) -> str:
-        """Path of the request at an engine."""
+        """URL path of the request at an engine."""
         return CHAT_PATH if self.request.chat else COMPLETION_PATH
 
     def next_attempt_id(self) -> str:
-        """Return an id for a further attempt; ids of other nodes never collide."""
+        """Return a new attempt id, unique across nodes."""
         self.attempts += 1
         return f"{self.request_id}-{self.attempts}"
 
-    def routing_request(self, delivered: Delivered, excluded: set[str]) -> RoutingRequest:
-        """Return the request as the scheduler sees it."""
+    def routing_request(self, delivered: DeliveredOutput, excluded: set[str]) -> RoutingRequest:
+        """Return the scheduler's description of the request.
+
+        :param excluded: names of engines that must not be selected.
+        """
         model = self.workload.spec.model
         service_class = self.workload.spec.service_class
         prompt = self.request.prompt_text + delivered.text
@@ -111,8 +115,8 @@
             excluded=set(excluded),
         )
 
-    def engine_document(self, weights_version: str, delivered: Delivered) -> dict:
-        """Return the body for an engine, continuing after what was delivered."""
+    def engine_document(self, weights_version: str, delivered: DeliveredOutput) -> dict:
+        """Return the request body for an engine, which continues after the delivered output."""
         model = self.workload.spec.model
         document = dict(self.request.document)
         document.pop("max_completion_tokens", None)
@@ -121,7 +125,7 @@
             "stream": True,
             "stream_options": {"include_usage": True},
             "max_tokens": self.request.max_tokens - delivered.tokens,
-            # The salt keeps cached state of other tenants and of other weights apart.
+            # Separates cached state by tenant, model and weights version.
             "cache_salt": cache_salt(self.tenant.name, model, weights_version),
             "priority": ENGINE_PRIORITY[self.workload.spec.service_class] + self.policy.priority,
             "user": self.tenant.name,
--- a/src/wheelslip/callers/claimed_relay.py
+++ b/src/wheelslip/callers/claimed_relay.py
@@ -1,8 +1,9 @@
-"""Serving a request that may not be repeated: at most one attempt ever runs.
+"""Relay of a non-repeatable request: at most one attempt runs.
 
-Nothing is sent before a claim names the attempt. Whoever meets a claim asks the engine it
-names: a running or finished attempt is joined, one proven never seen is taken over, and
-one whose engine is dead is reported ``may_have_run`` and never run again.
+A claim that names the attempt and its engine is stored before the request is sent. A node
+that finds an existing claim queries its engine: it joins an attempt that is running or
+finished, takes over one that is proven not to have run, and otherwise reports
+``may_have_run`` without another attempt.
 """
 
 import threading
@@ -10,15 +11,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from wheelslip.callers.answer import AnswerPart, AnswerWriter, collect
+from wheelslip.callers.answer import CompletionChunk, CompletionWriter, merge_chunks
 from wheelslip.callers.attempt import (
-    AnswerGone,
     AttemptFailed,
     AttemptLost,
     AttemptNotRun,
     AttemptTarget,
+    ResponseExpired,
 )
-from wheelslip.callers.call import Call, Delivered, RelayServices
+from wheelslip.callers.call import Call, DeliveredOutput, RelayServices
 from wheelslip.callers.relay import TrackedAttempt
 from wheelslip.errors import ErrorKind, WheelslipError
 from wheelslip.events import LogEvent, log_event
@@ -30,14 +31,17 @@
 )
 from wheelslip.routing.retry import backoff_seconds
 
-_ASK_AGAIN_SECONDS = 0.25
-MAX_TAKEOVERS = 8
-"""Takeovers of one key in one call before the caller is told to come back."""
+_REJOIN_INTERVAL_SECONDS = 0.25
+MAX_CLAIM_ATTEMPTS = 8
+"""Maximum number of attempts for one call; each takes the claim of the previous one over."""
 
 
 @dataclass(frozen=True)
 class _Takeover:
-    """The claim whose attempt was proven not run, and which may pass on; none at first."""
+    """The claim to replace, whose attempt is proven not to have run.
+
+    :ivar claim: ``None`` for the first attempt.
+    """
 
     claim: HeldClaim | None = None
 
@@ -47,28 +51,28 @@
 
 
 class ClaimedRelay:
-    """Serves one request under its claim."""
+    """Relays one request under the claim on its idempotency key."""
 
-    def __init__(self, services: RelayServices, call: Call, writer: AnswerWriter):
+    def __init__(self, services: RelayServices, call: Call, writer: CompletionWriter):
         self._services = services
         self._call = call
         self._writer = writer
         self._key = claim_key(call.tenant.name, call.request.idempotency_key)
         self._excluded: set[str] = set()
 
-    def parts(self) -> Iterator[AnswerPart]:
-        """Yield the answer.
+    def chunks(self) -> Iterator[CompletionChunk]:
+        """Yield the chunks of the response.
 
-        :raises WheelslipError: when it is refused, unresolved or lost.
+        :raises WheelslipError: when the request is refused, or its response is lost.
         """
         self._services.retry_budget.record_first_attempt()
         takeover = _Takeover()
-        for retry in range(MAX_TAKEOVERS):
+        for retry in range(MAX_CLAIM_ATTEMPTS):
             if retry:
                 time.sleep(backoff_seconds(retry, self._services.random_source))
             claim, owned = self._claim(takeover)
             try:
-                yield from self._answer(claim, owned)
+                yield from self._response_chunks(claim, owned)
                 return
             except AttemptNotRun as error:
                 if not error.stale:
@@ -77,28 +81,30 @@
                 log_event(
                     LogEvent.CLAIM_TAKEN_OVER, attempt=claim.record.attempt_id, reason=error.reason
                 )
-            except AnswerGone as error:
+            except ResponseExpired as error:
                 raise WheelslipError(ErrorKind.ANSWER_NOT_KEPT, error.reason) from error
             except AttemptLost as error:
                 kind = ErrorKind.CLAIM_LOST if error.engine_dead else ErrorKind.CLAIM_UNRESOLVED
                 raise WheelslipError(kind, error.reason) from error
-        raise WheelslipError(ErrorKind.ATTEMPTS_EXHAUSTED, "every attempt was proven not run")
+        raise WheelslipError(
+            ErrorKind.ATTEMPTS_EXHAUSTED, "every attempt was proven not to have run"
+        )
 
     def _claim(self, takeover: _Takeover) -> tuple[HeldClaim, bool]:
-        """Return the claim on this key and whether its attempt is ours to start."""
+        """Return the claim on this key, and whether this call may start its attempt."""
         try:
             dispatch = self._services.router.place(
-                self._call.routing_request(Delivered(), self._excluded)
+                self._call.routing_request(DeliveredOutput(), self._excluded)
             )
         except WheelslipError as refusal:
-            # No engine takes it now, but an earlier attempt may have answered already.
+            # No engine is available now, but an earlier attempt may already have a response.
             return self._existing_claim(takeover, refusal), False
         attempt_id = self._call.next_attempt_id()
         record = ClaimRecord(self._call.request.digest, attempt_id, dispatch.engine)
-        give_up_at = max(self._call.deadline, time.monotonic())
+        claim_deadline = max(self._call.deadline, time.monotonic())
         try:
             outcome = self._services.claims.claim(
-                self._key, record, takeover.expected_revision, give_up_at
+                self._key, record, takeover.expected_revision, claim_deadline
             )
         except ClaimStoreUnavailable as error:
             self._services.router.cancelled(self._call.request_id)
@@ -110,7 +116,8 @@
     def _existing_claim(self, takeover: _Takeover, refusal: WheelslipError) -> HeldClaim:
         """Return the stored claim of an earlier attempt.
 
-        :raises WheelslipError: the refusal, when there is no other attempt to ask.
+        :param refusal: why no engine accepts a new attempt.
+        :raises WheelslipError: ``refusal``, when there is no claim of another attempt.
         """
         try:
             claim = self._services.claims.read(self._key)
@@ -120,67 +127,72 @@
             raise refusal
         return claim
 
-    def _answer(self, claim: HeldClaim, owned: bool) -> Iterator[AnswerPart]:
+    def _response_chunks(self, claim: HeldClaim, owned: bool) -> Iterator[CompletionChunk]:
+        """Yield the response of the claimed attempt: stored, started or joined."""
         record = claim.record
         if record.request_digest != self._call.request.digest:
             message = "Idempotency-Key: already used with another request body"
             raise WheelslipError(ErrorKind.IDEMPOTENCY_KEY_REUSED, message)
         if record.completed:
-            yield from self._kept(record)
+            yield from self._replay_stored(record)
             return
         target = AttemptTarget(record.attempt_id, record.engine)
         tracked = TrackedAttempt(self._services, self._call.request_id, target)
         if owned:
-            document = self._call.engine_document(record.engine.weights_version, Delivered())
-            parts = tracked.start(self._call.path, document)
+            document = self._call.engine_document(record.engine.weights_version, DeliveredOutput())
+            chunks = tracked.start(self._call.path, document)
         else:
-            parts = tracked.join()
-        yield from self._completing(claim, target, self._patient(parts, target))
+            chunks = tracked.join()
+        yield from self._store_when_complete(
+            claim, target, self._rejoin_until_deadline(chunks, target)
+        )
 
-    def _kept(self, record: ClaimRecord) -> Iterator[AnswerPart]:
+    def _replay_stored(self, record: ClaimRecord) -> Iterator[CompletionChunk]:
         if record.answer is None:
-            raise WheelslipError(ErrorKind.ANSWER_NOT_KEPT, "the answer was too large to keep")
-        yield from self._writer.parts_of_kept(record.answer)
-
-    def _patient(self, parts: Iterator[AnswerPart], target: AttemptTarget) -> Iterator[AnswerPart]:
-        """Yield ``parts``; while the engine cannot be asked, ask again until the deadline."""
-        position = 0
+            raise WheelslipError(ErrorKind.ANSWER_NOT_KEPT, "the response was too large to store")
+        yield from self._writer.replay(record.answer)
+
+    def _rejoin_until_deadline(
+        self, chunks: Iterator[CompletionChunk], target: AttemptTarget
+    ) -> Iterator[CompletionChunk]:
+        """Yield ``chunks``, and rejoin a lost attempt until the call's deadline."""
+        yielded = 0
         while True:
             try:
-                for number, part in enumerate(parts):
-                    if number >= position:
-                        position += 1
-                        yield part
+                for index, chunk in enumerate(chunks):
+                    if index >= yielded:
+                        yielded += 1
+                        yield chunk
                 return
             except AttemptLost as error:
                 if error.engine_dead or time.monotonic() >= self._call.deadline:
                     raise
-            time.sleep(_ASK_AGAIN_SECONDS)
-            # A fresh join replays the stream from its first event.
-            parts = TrackedAttempt(self._services, self._call.request_id, target).join()
-
-    def _completing(
-        self, claim: HeldClaim, target: AttemptTarget, parts: Iterator[AnswerPart]
-    ) -> Iterator[AnswerPart]:
-        """Yield ``parts`` and keep the finished answer, also when the caller has gone."""
-        seen: list[AnswerPart] = []
+            time.sleep(_REJOIN_INTERVAL_SECONDS)
+            # Joining replays the stream from its first event; skip what was yielded.
+            chunks = TrackedAttempt(self._services, self._call.request_id, target).join()
+
+    def _store_when_complete(
+        self, claim: HeldClaim, target: AttemptTarget, chunks: Iterator[CompletionChunk]
+    ) -> Iterator[CompletionChunk]:
+        """Yield ``chunks`` and store the complete response, even if the caller disconnects."""
+        received: list[CompletionChunk] = []
         try:
-            for part in parts:
-                seen.append(part)
-                yield part
+            for chunk in chunks:
+                received.append(chunk)
+                yield chunk
         except GeneratorExit:
             log_event(LogEvent.CALLER_GONE, request=self._call.request_id)
             self._complete_in_background(claim, target)
             raise
-        self._services.claims.complete(claim, collect(iter(seen)))
+        self._services.claims.complete(claim, merge_chunks(iter(received)))
 
     def _complete_in_background(self, claim: HeldClaim, target: AttemptTarget) -> None:
-        """Let the only permitted attempt run to its end and keep its answer for a repeat."""
+        """Read the attempt to its end and store its response for later requests with the key."""
 
         def finish() -> None:
             try:
                 tracked = TrackedAttempt(self._services, self._call.request_id, target)
-                self._services.claims.complete(claim, collect(tracked.join()))
+                self._services.claims.complete(claim, merge_chunks(tracked.join()))
             except AttemptFailed as error:
                 log_event(LogEvent.ATTEMPT_FAILED, attempt=target.attempt_id, reason=error.reason)
 
--- a/src/wheelslip/callers/relay.py
+++ b/src/wheelslip/callers/relay.py
@@ -1,23 +1,23 @@
-"""Serving a repeatable request: attempts until one answer is whole.
+"""Relay of a repeatable request: retries until one response is complete.
 
-A request proven not run is tried elsewhere within the retry budget. One lost after tokens
-were delivered continues elsewhere from exactly those tokens, so the caller sees every
-token once and in order.
+Failed attempts are retried within the retry budget. When tokens were already delivered, the
+next attempt continues after them, so that the caller receives every token once and in
+order.
 """
 
 import time
 from collections.abc import Iterator
 
-from wheelslip.callers.answer import AnswerPart
+from wheelslip.callers.answer import CompletionChunk
 from wheelslip.callers.attempt import (
-    AnswerGone,
     Attempt,
     AttemptFailed,
     AttemptLost,
     AttemptNotRun,
     AttemptTarget,
+    ResponseExpired,
 )
-from wheelslip.callers.call import Call, Delivered, RelayServices
+from wheelslip.callers.call import Call, DeliveredOutput, RelayServices
 from wheelslip.errors import ErrorKind, WheelslipError
 from wheelslip.events import LogEvent, log_event
 from wheelslip.routing.model import Dispatch
@@ -25,7 +25,7 @@
 
 
 class TrackedAttempt:
-    """Runs one placed attempt and keeps the scheduler informed of it."""
+    """Runs one attempt and reports its progress and result to the scheduler."""
 
     def __init__(self, services: RelayServices, request_id: str, target: AttemptTarget):
         self._services = services
@@ -35,27 +35,27 @@
             services.engine_client, target, request_id, services.router.observe_load
         )
 
-    def start(self, path: str, document: dict) -> Iterator[AnswerPart]:
-        """Send the request; see :meth:`Attempt.start`."""
-        return self._tracked(self._attempt.start(path, document))
+    def start(self, path: str, document: dict) -> Iterator[CompletionChunk]:
+        """Send the request and report its progress; see :meth:`Attempt.start`."""
+        return self._report_progress(self._attempt.start(path, document))
 
-    def join(self) -> Iterator[AnswerPart]:
-        """Read an attempt that somebody else started; see :meth:`Attempt.join`."""
+    def join(self) -> Iterator[CompletionChunk]:
+        """Read an attempt that was started elsewhere; see :meth:`Attempt.join`."""
         return self._attempt.join()
 
-    def _tracked(self, parts: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
+    def _report_progress(self, chunks: Iterator[CompletionChunk]) -> Iterator[CompletionChunk]:
         router = self._services.router
         cached_tokens = None
         ended = False
         first = True
         try:
-            for part in parts:
+            for chunk in chunks:
                 if first:
                     router.first_token(self._request_id)
                     first = False
-                if part.usage is not None:
-                    cached_tokens = part.usage.cached_tokens
-                yield part
+                if chunk.usage is not None:
+                    cached_tokens = chunk.usage.cached_tokens
+                yield chunk
             router.finished(self._request_id, cached_tokens)
             ended = True
         except AttemptFailed as error:
@@ -83,19 +83,19 @@
 
 
 class RepeatableRelay:
-    """Serves one repeatable request."""
+    """Relays one repeatable request."""
 
     def __init__(self, services: RelayServices, call: Call):
         self._services = services
         self._call = call
-        self._delivered = Delivered()
+        self._delivered = DeliveredOutput()
         self._excluded: set[str] = set()
         self._may_have_run = False
 
-    def parts(self) -> Iterator[AnswerPart]:
-        """Yield the answer.
+    def chunks(self) -> Iterator[CompletionChunk]:
+        """Yield the chunks of the response.
 
-        :raises WheelslipError: when the request is refused or given up.
+        :raises WheelslipError: when the request is refused, or the retry budget is exhausted.
         """
         self._services.retry_budget.record_first_attempt()
         retries = 0
@@ -114,23 +114,23 @@
         try:
             return self._services.router.place(request)
         except WheelslipError as error:
-            # One attempt that may have run is enough: a later refusal proves nothing of it.
+            # A refusal now does not prove that an earlier attempt did not run.
             if self._may_have_run:
                 raise WheelslipError(ErrorKind.ENGINE_LOST, error.message) from error
             raise
 
-    def _run(self, dispatch: Dispatch, attempt_id: str) -> Iterator[AnswerPart]:
+    def _run(self, dispatch: Dispatch, attempt_id: str) -> Iterator[CompletionChunk]:
         target = AttemptTarget(attempt_id, dispatch.engine)
         tracked = TrackedAttempt(self._services, self._call.request_id, target)
-        already = self._delivered.tokens
+        earlier_tokens = self._delivered.tokens
         document = self._call.engine_document(dispatch.engine.weights_version, self._delivered)
         try:
-            for part in tracked.start(self._call.path, document):
-                if part.text:
-                    self._delivered.texts.append(part.text)
-                yield _with_earlier_tokens(part, already)
+            for chunk in tracked.start(self._call.path, document):
+                if chunk.text:
+                    self._delivered.texts.append(chunk.text)
+                yield _with_earlier_tokens(chunk, earlier_tokens)
         except AttemptLost:
-            # Nobody will read this attempt again; stop its work if the engine still lives.
+            # This attempt is not resumed: abort it in case the engine is still running it.
             self._services.directory.abort_later(target.engine, attempt_id)
             raise
         except GeneratorExit:
@@ -139,15 +139,16 @@
             raise
 
     def _prepare_retry(self, error: AttemptFailed, dispatch: Dispatch, retries: int) -> None:
-        """Pause before a retry, or give the request up at once.
+        """Wait for the retry backoff, or fail the request.
 
-        :raises WheelslipError: when the budget is spent.
+        :raises WheelslipError: when the retry budget is exhausted, or the response of an
+            attempt that ran is no longer stored.
         """
         not_run = isinstance(error, AttemptNotRun)
         self._may_have_run |= not not_run
         if not (not_run and error.stale):
             self._excluded.add(dispatch.engine.name)
-        if isinstance(error, AnswerGone) or not self._services.retry_budget.take_retry():
+        if isinstance(error, ResponseExpired) or not self._services.retry_budget.take_retry():
             lost = self._may_have_run
             kind = ErrorKind.ENGINE_LOST if lost else ErrorKind.ATTEMPTS_EXHAUSTED
             raise WheelslipError(kind, error.reason) from error
@@ -160,10 +161,10 @@
         time.sleep(backoff_seconds(retries, self._services.random_source))
 
 
-def _with_earlier_tokens(part: AnswerPart, already: int) -> AnswerPart:
-    """Count the tokens of earlier attempts as output, not as prompt."""
-    if part.usage is None or not already:
-        return part
-    part.usage.completion_tokens += already
-    part.usage.prompt_tokens = max(0, part.usage.prompt_tokens - already)
-    return part
+def _with_earlier_tokens(chunk: CompletionChunk, earlier_tokens: int) -> CompletionChunk:
+    """Move the tokens of earlier attempts from the prompt count to the completion count."""
+    if chunk.usage is None or not earlier_tokens:
+        return chunk
+    chunk.usage.completion_tokens += earlier_tokens
+    chunk.usage.prompt_tokens = max(0, chunk.usage.prompt_tokens - earlier_tokens)
+    return chunk
--- a/src/wheelslip/callers/schema.py
+++ b/src/wheelslip/callers/schema.py
@@ -1,4 +1,4 @@
-"""What callers may send, checked into typed values."""
+"""Schema of completion requests, and their validation."""
 
 import hashlib
 import json
@@ -17,13 +17,13 @@
 MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
 MAX_DEADLINE_SECONDS = 3600.0
 DEFAULT_OUTPUT_TOKENS = 16
-"""What OpenAI's completions API generates when ``max_tokens`` is absent."""
+"""Default of the OpenAI completions API when ``max_tokens`` is absent."""
 
 PositiveInt = Annotated[int, msgspec.Meta(gt=0)]
 
 
 class TextPart(msgspec.Struct):
-    """One part of a message content."""
+    """One part of a message's content."""
 
     type: str
     text: str = ""
@@ -37,12 +37,14 @@
 
 
 class StreamOptions(msgspec.Struct):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
 
 class _Common(msgspec.Struct):
+    """Fields common to both kinds of completion."""
+
     model: Annotated[str, msgspec.Meta(min_length=1)]
     stream: bool | None = None
     stream_options: StreamOptions | None = None
@@ -52,24 +54,25 @@
 
 
 class ChatBody(_Common, kw_only=True):
-    """Body of a chat completion; further fields are passed on unread."""
+    """Body of a chat completion; other fields are forwarded without validation."""
 
     messages: Annotated[list[ChatMessage], msgspec.Meta(min_length=1)]
 
 
 class CompletionBody(_Common, kw_only=True):
-    """Body of a completion; further fields are passed on unread."""
+    """Body of a completion; other fields are forwarded without validation."""
 
     prompt: Annotated[str, msgspec.Meta(min_length=1)]
 
 
 @dataclass(frozen=True)
 class CompletionRequest:
-    """One checked request of a caller.
+    """A validated completion request.
 
-    :param document: the body as sent, for passing on.
-    :param digest: of the body, to tell a repeat from another request under the same key.
-    :param deadline_seconds: from arrival to the first token, when the caller named it.
+    :ivar document: the request body as received.
+    :ivar digest: digest of the body, to detect reuse of an idempotency key for another body.
+    :ivar deadline_seconds: time from arrival to the first token; ``None`` when the caller
+        sets no deadline.
     """
 
     chat: bool
@@ -85,9 +88,9 @@
 
 
 def parse_completion(request: ServiceRequest, chat: bool) -> CompletionRequest:
-    """Check a request's body and headers.
+    """Validate the body and the headers of a completion request.
 
-    :raises WheelslipError: ``invalid_request`` naming the field.
+    :raises WheelslipError: ``invalid_request``, naming the field.
     """
     document = request.json_object()
     try:
@@ -97,7 +100,7 @@
         field = path.strip("`").removeprefix("$").lstrip(".") or "body"
         raise WheelslipError(ErrorKind.INVALID_REQUEST, f"{field}: {reason}") from error
     if body.n not in (None, 1):
-        raise WheelslipError(ErrorKind.INVALID_REQUEST, "n: only 1 is served")
+        raise WheelslipError(ErrorKind.INVALID_REQUEST, "n: only 1 is supported")
     return CompletionRequest(
         chat=chat,
         model=body.model,
@@ -113,11 +116,11 @@
 
 
 def _body_digest(document: dict) -> str:
-    """Digest of what is asked; how the answer is delivered does not count."""
-    asked = {
+    """Return a digest of the body without the fields that only select streaming."""
+    digested = {
         name: value for name, value in document.items() if name not in ("stream", "stream_options")
     }
-    return hashlib.sha256(json.dumps(asked, sort_keys=True).encode()).hexdigest()
+    return hashlib.sha256(json.dumps(digested, sort_keys=True).encode()).hexdigest()
 
 
 def _idempotency_key(request: ServiceRequest) -> str | None:
--- a/src/wheelslip/engines/__init__.py
+++ b/src/wheelslip/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines: requests, resumable streams, status and fenced orders."""
+"""Model engines: their client, with resumable streams, and the directory of engines."""
--- a/src/wheelslip/engines/client.py
+++ b/src/wheelslip/engines/client.py
@@ -1,8 +1,8 @@
-"""Client of one dialect of engine: OpenAI-compatible, with resumable event streams.
+"""Client for engines with an OpenAI-compatible API and resumable event streams.
 
-Every failure is sorted by what it proves. :class:`EngineRefused` and
-:class:`EngineNotReached` prove that nothing ran; :class:`EngineStreamLost` proves nothing,
-and the caller asks the engine itself (:meth:`EngineClient.tombstone`).
+When a request is sent, the exception type states whether it ran. After
+:class:`EngineRefused` and :class:`EngineUnreachable` it did not; after
+:class:`EngineStreamLost` it may have, which :meth:`EngineClient.tombstone` can resolve.
 """
 
 import contextlib
@@ -17,27 +17,30 @@
 from wheelslip.routing.model import EngineInfo, EngineState
 
 _STREAM_PATH = "/v1/streams/"
-_READ_BYTES = 65536
-_TOMBSTONE_TIMEOUT_SECONDS = 1.0
+_READ_CHUNK_BYTES = 65536
+_CONTROL_TIMEOUT_SECONDS = 1.0
 DONE_DATA = b"[DONE]"
 PRECONDITION_FAILED = 412
 GONE = 410
-_COMMENT = b":"
+_COMMENT_PREFIX = b":"
 NOT_FOUND = 404
 
 
 class EngineError(Exception):
-    """An engine did not do what was asked."""
+    """Base of the exceptions raised when a request to an engine fails."""
 
 
-class EngineNotReached(EngineError):
-    """Nothing was sent: the connection was never made."""
+class EngineUnreachable(EngineError):
+    """Raised when no connection could be established, so that nothing was sent.
+
+    A failed or unreadable status response raises it too.
+    """
 
 
 class EngineRefused(EngineError):
-    """The engine refused before running anything.
+    """Raised when the engine refuses a request before running it.
 
-    :ivar status: its HTTP status; 412 when incarnation or weights version differ.
+    :ivar status: HTTP status; 412 when the incarnation or the weights version differs.
     """
 
     def __init__(self, status: int, reason: str):
@@ -46,11 +49,11 @@
 
 
 class EngineStreamLost(EngineError):
-    """The connection broke, stalled or carried another request's answer after sending."""
+    """Raised when a request was sent and no complete, valid response to it was received."""
 
 
 class AttemptState(enum.StrEnum):
-    """What an engine says of an attempt id when asked for a tombstone."""
+    """State of an attempt id that an engine returns for a tombstone request."""
 
     NEVER_SEEN = "never_seen"
     TOMBSTONED = "tombstoned"
@@ -60,13 +63,13 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Whether the engine promises that the attempt never ran and never will."""
+        """Whether the attempt did not run and the engine refuses it if it arrives later."""
         return self in (AttemptState.NEVER_SEEN, AttemptState.TOMBSTONED)
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One server-sent event of an engine."""
+    """One server-sent event of an engine's stream."""
 
     event_id: int
     data: bytes
@@ -74,14 +77,14 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """Load that came back in band with an answer."""
+    """Numbers of running and waiting requests, read from the headers of a response."""
 
     running: int
     waiting: int
 
 
 class EngineStatus(msgspec.Struct, frozen=True):
-    """The engine's own account of itself."""
+    """Response of an engine's status endpoint."""
 
     incarnation: str
     model: str
@@ -91,18 +94,19 @@
     running: int = 0
 
     def engine_state(self) -> EngineState:
-        """Return the state for routing: anything but serving takes no new work."""
+        """Return the state for routing; every state other than ``serving`` is leaving."""
         return EngineState.SERVING if self.state == "serving" else EngineState.LEAVING
 
 
-class _TombstoneAnswer(msgspec.Struct):
+class _TombstoneResponse(msgspec.Struct):
     state: AttemptState
 
 
 class EngineStream:
     """An open event stream of one attempt.
 
-    :ivar last_event_id: the last event handed out, for resuming.
+    :ivar last_event_id: id of the last event yielded, from which the stream can be resumed.
+    :ivar load: load of the engine when it opened the stream.
     """
 
     def __init__(self, response: urllib3.BaseHTTPResponse, last_event_id: int):
@@ -114,7 +118,7 @@
         )
 
     def events(self) -> Iterator[StreamEvent]:
-        """Yield events in order, without gap or repeat, until the done event.
+        """Yield the events in order, without gaps or duplicates, up to the done event.
 
         :raises EngineStreamLost: when the stream breaks, stalls or skips an event.
         """
@@ -132,131 +136,136 @@
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             raise EngineStreamLost(f"stream: {error}") from error
         finally:
-            # A connection that did not end at its last byte is never pooled again.
+            # Closes the connection unless the body was read completely and it was released.
             self.close()
         raise EngineStreamLost("stream ended before its done event")
 
     def close(self) -> None:
-        """Give the connection up; a no-op once it went back to the pool."""
+        """Close the connection, unless it was returned to the pool."""
         self._response.close()
 
     def _drain(self) -> None:
-        """Read to the end of the body, so that the connection can be used again."""
-        if self._response.read1(_READ_BYTES) == b"":
+        """Return the connection to the pool if the body ends here."""
+        if self._response.read1(_READ_CHUNK_BYTES) == b"":
             self._response.release_conn()
 
     def _parse(self) -> Iterator[StreamEvent]:
         buffer = b""
         while True:
-            received = self._response.read1(_READ_BYTES)
+            received = self._response.read1(_READ_CHUNK_BYTES)
             if not received:
                 return
             *blocks, buffer = (buffer + received).split(b"\n\n")
             for block in blocks:
-                if not block.startswith(_COMMENT):
+                if not block.startswith(_COMMENT_PREFIX):
                     yield _parse_event(block)
 
 
 def _parse_event(block: bytes) -> StreamEvent:
     id_line, _, data_line = block.partition(b"\n")
     if not id_line.startswith(b"id: ") or not data_line.startswith(b"data: "):
-        raise EngineStreamLost("event without id and data")
+        raise EngineStreamLost("event without an id line followed by a data line")
     return StreamEvent(int(id_line[4:]), data_line[6:])
 
 
 class EngineClient:
-    """Talks to all engines; safe to use from several threads.
+    """Client for all engines; safe to use from several threads.
 
-    :param connect_seconds: longest wait for a connection.
-    :param stall_seconds: longest wait for the next event before the stream is resumed.
-    :param source_host: own IP number, from which connections are made.
+    :param connect_seconds: connect timeout.
+    :param stall_seconds: read timeout of a stream.
+    :param pool_size: maximum number of pooled connections per engine.
+    :param source_host: local IP address that connections are made from.
     """
 
     def __init__(
         self, connect_seconds: float, stall_seconds: float, pool_size: int, source_host: str
     ):
         self._stream_timeout = urllib3.Timeout(connect=connect_seconds, read=stall_seconds)
-        self._short_timeout = urllib3.Timeout(
-            connect=connect_seconds, read=_TOMBSTONE_TIMEOUT_SECONDS
+        self._control_timeout = urllib3.Timeout(
+            connect=connect_seconds, read=_CONTROL_TIMEOUT_SECONDS
         )
         self._pool = urllib3.PoolManager(
             num_pools=1024, maxsize=pool_size, retries=False, source_address=(source_host, 0)
         )
 
     def start(self, engine: EngineInfo, attempt_id: str, path: str, document: dict) -> EngineStream:
-        """Send a request under its preconditions and return its event stream.
+        """Send a request and return its event stream.
+
+        The headers require the engine's incarnation and weights version to be unchanged.
 
-        :raises EngineNotReached: nothing was sent.
-        :raises EngineRefused: the engine refused before running it.
-        :raises EngineStreamLost: it was sent and no usable answer came.
+        :raises EngineUnreachable: when the request was not sent.
+        :raises EngineRefused: when the engine refuses to run it.
+        :raises EngineStreamLost: when it was sent and there is no valid response.
         """
         headers = {
             "X-Request-Id": attempt_id,
             "X-Engine-Incarnation": engine.incarnation,
             "X-Weights-Version": engine.weights_version,
         }
-        response = self._open("POST", engine, path, headers, json.dumps(document).encode())
-        return self._checked_stream(response, engine, attempt_id, 0)
+        response = self._send("POST", engine, path, headers, json.dumps(document).encode())
+        return self._open_stream(response, engine, attempt_id, 0)
 
     def resume(self, engine: EngineInfo, attempt_id: str, last_event_id: int) -> EngineStream:
-        """Reopen the stream of an attempt after ``last_event_id``.
+        """Resume the stream of an attempt after ``last_event_id``.
 
-        :raises EngineError: as :meth:`start`; 404 when the engine never saw the attempt.
+        :raises EngineError: as for :meth:`start`; the status is 404 when the engine has not
+            received the attempt, and 410 when it no longer stores the response.
         """
         headers = {"Last-Event-ID": str(last_event_id)}
-        response = self._open("GET", engine, _STREAM_PATH + attempt_id, headers, None)
-        return self._checked_stream(response, engine, attempt_id, last_event_id)
+        response = self._send("GET", engine, _STREAM_PATH + attempt_id, headers, None)
+        return self._open_stream(response, engine, attempt_id, last_event_id)
 
     def tombstone(self, engine: EngineInfo, attempt_id: str) -> AttemptState:
-        """Ask what became of an attempt; one never seen will be refused for ever after.
+        """Return the state of an attempt; one not received yet will be refused if it arrives.
 
-        :raises EngineRefused: 412 when the incarnation is another one.
-        :raises EngineError: when the engine does not answer.
+        :raises EngineRefused: with status 412, when the incarnation differs.
+        :raises EngineError: when there is no valid response.
         """
         response = self._post(engine, "/tombstone", {"request_id": attempt_id})
         try:
-            answer = msgspec.json.decode(response.data, type=_TombstoneAnswer)
+            reply = msgspec.json.decode(response.data, type=_TombstoneResponse)
         except msgspec.MsgspecError as error:
-            raise EngineStreamLost(f"tombstone answer: {error}") from error
+            raise EngineStreamLost(f"tombstone response: {error}") from error
         if response.headers.get("X-Engine-Incarnation") != engine.incarnation:
-            raise EngineRefused(PRECONDITION_FAILED, "another incarnation")
-        return answer.state
+            raise EngineRefused(PRECONDITION_FAILED, "engine has another incarnation")
+        return reply.state
 
     def abort(self, engine: EngineInfo, attempt_id: str) -> None:
-        """Stop an attempt whose answer nobody waits for; failures do not matter."""
+        """Abort an attempt whose response is not needed; errors are ignored."""
         with contextlib.suppress(EngineError):
             self._post(engine, "/abort", {"request_id": attempt_id})
 
     def order(self, engine: EngineInfo, fencing_token: int, order: dict) -> None:
-        """Give a fenced order.
+        """Send an order with a fencing token.
 
-        :raises EngineRefused: 409 when the engine has seen a higher fencing token.
-        :raises EngineError: when the engine does not answer.
+        :raises EngineRefused: when the engine refuses it; with status 409, when it has
+            received a higher fencing token.
+        :raises EngineError: when the engine does not respond.
         """
         response = self._post(engine, "/orders", order | {"fencing_token": fencing_token})
         if response.status != 200:
             raise EngineRefused(response.status, response.data.decode(errors="replace"))
 
     def status(self, address: str) -> EngineStatus:
-        """Return what the engine at an address says of itself.
+        """Return the status of the engine at an address.
 
-        :raises EngineError: when it does not answer.
+        :raises EngineError: when there is no valid response.
         """
         url = f"http://{address}/status"
         try:
-            response = self._pool.request("GET", url, timeout=self._short_timeout)
+            response = self._pool.request("GET", url, timeout=self._control_timeout)
             return msgspec.json.decode(response.data, type=EngineStatus)
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError) as error:
-            raise EngineNotReached(f"status: {error}") from error
+            raise EngineUnreachable(f"status: {error}") from error
 
     def _post(self, engine: EngineInfo, path: str, document: dict) -> urllib3.BaseHTTPResponse:
         url = f"http://{engine.address}{path}"
         try:
-            return self._pool.request("POST", url, json=document, timeout=self._short_timeout)
+            return self._pool.request("POST", url, json=document, timeout=self._control_timeout)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise EngineStreamLost(f"{path}: {error}") from error
 
-    def _open(
+    def _send(
         self, method: str, engine: EngineInfo, path: str, headers: dict, body: bytes | None
     ) -> urllib3.BaseHTTPResponse:
         try:
@@ -272,35 +281,36 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            raise EngineNotReached(str(error)) from error
+            raise EngineUnreachable(str(error)) from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise EngineStreamLost(str(error)) from error
 
     @staticmethod
-    def _checked_stream(
+    def _open_stream(
         response: urllib3.BaseHTTPResponse, engine: EngineInfo, attempt_id: str, last_event_id: int
     ) -> EngineStream:
-        """Check that the answer belongs to this attempt and incarnation."""
+        """Return the stream of a response, if it belongs to this attempt and incarnation."""
         echoed = response.headers.get("X-Request-Id")
         if echoed != attempt_id:
             response.close()
-            raise EngineStreamLost(f"answer belongs to request {echoed!r}")
+            raise EngineStreamLost(f"response belongs to request {echoed!r}")
         same_incarnation = response.headers.get("X-Engine-Incarnation") == engine.incarnation
         if response.status != 200:
             reason = _refusal_reason(response)
             status = response.status if same_incarnation else PRECONDITION_FAILED
             raise EngineRefused(status, reason)
         if not same_incarnation:
-            # An engine that ignored the precondition may have run the request.
+            # The engine did not check the required incarnation and may have run the request.
             response.close()
-            raise EngineStreamLost("answer of another incarnation")
+            raise EngineStreamLost("response of another incarnation")
         return EngineStream(response, last_event_id)
 
 
 def _refusal_reason(response: urllib3.BaseHTTPResponse) -> str:
+    """Return the beginning of an error response's body and close the response."""
     try:
-        return response.read(_READ_BYTES).decode(errors="replace")
+        return response.read(_READ_CHUNK_BYTES).decode(errors="replace")
     except (urllib3.exceptions.HTTPError, OSError):
-        return "refusal cut short"
+        return "error response could not be read"
     finally:
         response.close()
--- a/src/wheelslip/engines/directory.py
+++ b/src/wheelslip/engines/directory.py
@@ -1,8 +1,8 @@
-"""The engine directory: which engines there are and what state each is in.
+"""Directory of the engines and their states.
 
-Machine list, the engine's own answer and the operators' drain are three signals that an
-engine is leaving; any one suffices. One node of the engine's zone, placed by rendezvous
-hashing, reads the engine's own answer and spreads it as a replicated record.
+An engine counts as leaving when the machine list, its own status or an operator's drain
+reports so. One node of its zone, selected by rendezvous hashing, reads its status and
+publishes it to the other nodes as a replicated record.
 """
 
 import queue
@@ -27,14 +27,14 @@
 from wheelslip.routing.model import EngineInfo, EngineState
 from wheelslip.routing.task import RouterTask
 
-ENGINE_PREFIX = "e/"
-MACHINE_LIST_SECONDS = 2.0
-STATUS_SECONDS = 1.0
-MISSES_UNTIL_DOWN = 2
-"""Status reads in a row without answer after which an engine counts as down."""
+ENGINE_KEY_PREFIX = "e/"
+MACHINE_LIST_INTERVAL_SECONDS = 2.0
+STATUS_INTERVAL_SECONDS = 1.0
+FAILED_READS_UNTIL_DOWN = 2
+"""Consecutive failed status reads after which an engine counts as down."""
 
-_MIN_CHECK_SECONDS = 0.2
-_READER_DUTY = "engine-reader"
+_MIN_CHECK_INTERVAL_SECONDS = 0.2
+_READER_ROLE = "engine-reader"
 _STATE_EVENTS = {
     EngineState.SERVING: LogEvent.ENGINE_UP,
     EngineState.LEAVING: LogEvent.ENGINE_LEAVING,
@@ -43,7 +43,7 @@
 
 
 class EngineRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What the engine's reader spreads: the engine's own answer, or that it has none."""
+    """Status of an engine, as replicated between nodes."""
 
     address: str
     zone: str
@@ -53,7 +53,7 @@
     state: EngineState
 
     def info(self, name: str) -> EngineInfo:
-        """Return the record as routing sees it."""
+        """Return the scheduler's description of the engine."""
         return EngineInfo(
             name,
             self.address,
@@ -66,13 +66,13 @@
 
 
 @dataclass(frozen=True)
-class _CheckNow:
+class _CheckRequested:
     engine: str
 
 
 @dataclass(frozen=True)
-class _RecordSeen:
-    name: str
+class _RecordReceived:
+    engine: str
     record: EngineRecord
 
 
@@ -82,19 +82,23 @@
 
 
 @dataclass(frozen=True)
-class _AbortLater:
+class _AbortRequested:
     engine: EngineInfo
     attempt_id: str
 
 
-_Message = _CheckNow | _RecordSeen | _DrainsChanged
+_Message = _CheckRequested | _RecordReceived | _DrainsChanged
 
 
 def effective_state(reported: EngineState, machine: Machine | None, drained: bool) -> EngineState:
-    """Return the state for routing: any one signal of leaving suffices.
+    """Return an engine's state for routing, from its status, its machine and the drains.
+
+    The machine list is updated with a delay, so an engine whose machine is not listed may
+    still be running; it counts as leaving.
 
-    A machine that is no longer listed is leaving too: the list lags, so the engine may
-    still answer, but it gets no new work.
+    :param reported: state in the engine's record.
+    :param machine: ``None`` when the machine is not listed.
+    :param drained: whether an operator drained the engine.
     """
     if reported is not EngineState.SERVING:
         return reported
@@ -103,33 +107,35 @@
     return EngineState.SERVING
 
 
-def own_engines(
+def assigned_engines(
     me: MemberInfo, members: tuple[MemberInfo, ...], machines: Iterable[Machine]
 ) -> tuple[str, ...]:
-    """Return the engines whose status ``me`` reads: those of its zone that hash to it.
+    """Return the names of the engines whose status the node ``me`` reads.
 
-    Engines of a zone without any live node are read from the other zones.
+    Each engine is assigned to one live node of its zone by rendezvous hashing, or to one of
+    all live nodes when its zone has none.
     """
     zones = {member.zone for member in members}
-    near = [member.name for member in members if member.zone == me.zone]
-    everyone = [member.name for member in members]
-    chosen = []
+    same_zone = [member.name for member in members if member.zone == me.zone]
+    all_names = [member.name for member in members]
+    assigned = []
     for machine in machines:
         if machine.role is not MachineRole.ENGINE:
             continue
         if machine.zone != me.zone and machine.zone in zones:
             continue
-        names = near if machine.zone == me.zone else everyone
-        if rendezvous.owner(f"{_READER_DUTY}/{machine.name}", names) == me.name:
-            chosen.append(machine.name)
-    return tuple(chosen)
+        names = same_zone if machine.zone == me.zone else all_names
+        if rendezvous.owner(f"{_READER_ROLE}/{machine.name}", names) == me.name:
+            assigned.append(machine.name)
+    return tuple(assigned)
 
 
 class EngineDirectory:
-    """Finds engines and tells the router task about them.
+    """Tracks the engines and reports their states to the router task.
 
-    :param members: returns the live nodes, for placing the reader duty.
-    :param publish: spreads a replicated record.
+    :param me: this node.
+    :param members: returns the live nodes, among which status reads are distributed.
+    :param publish: publishes a replicated record, given its key and value.
     """
 
     def __init__(
@@ -149,18 +155,18 @@
         self._publish = publish
         self._machines: dict[str, Machine] = {}
         self._records: dict[str, EngineRecord] = {}
-        self._shown: dict[str, EngineInfo] = {}
+        self._reported: dict[str, EngineInfo] = {}
         self._drained: frozenset[str] = frozenset()
-        self._misses: dict[str, int] = {}
+        self._failed_reads: dict[str, int] = {}
         self._checked_at: dict[str, float] = {}
-        self._own_engines: tuple[str, ...] = ()
-        self._duties_for_members: tuple[MemberInfo, ...] | None = None
-        self._duties_for: dict[str, Machine] | None = None
-        self._next_machine_list = 0.0
-        self._next_status = 0.0
+        self._assigned_engines: tuple[str, ...] = ()
+        self._assigned_for_members: tuple[MemberInfo, ...] | None = None
+        self._assigned_for_machines: dict[str, Machine] | None = None
+        self._next_machine_list_read = 0.0
+        self._next_status_read = 0.0
         self._list_failing = False
         self._mailbox: queue.SimpleQueue[_Message] = queue.SimpleQueue()
-        self._aborts: queue.SimpleQueue[_AbortLater] = queue.SimpleQueue()
+        self._aborts: queue.SimpleQueue[_AbortRequested] = queue.SimpleQueue()
         self._stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._run, name="engine-directory", daemon=True),
@@ -168,35 +174,40 @@
         ]
 
     def start(self) -> None:
-        """Begin to look for engines."""
+        """Start the directory's threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the threads."""
         self._stopping.set()
 
     def engines(self) -> list[EngineInfo]:
-        """Return the engines as the router was told of them."""
-        return sorted(self._shown.values(), key=lambda info: info.name)
+        """Return the engines as last reported to the router, sorted by name."""
+        return sorted(self._reported.values(), key=lambda info: info.name)
 
     def check_now(self, engine: str) -> None:
-        """Read an engine's status soon, whoever holds the reader duty."""
-        self._mailbox.put(_CheckNow(engine))
+        """Schedule a status read, even if the engine is assigned to another node.
+
+        It is skipped when the status was read very recently.
+        """
+        self._mailbox.put(_CheckRequested(engine))
 
     def set_drained(self, engines: frozenset[str]) -> None:
-        """Take the operators' drains."""
+        """Set the names of the engines that operators have drained."""
         self._mailbox.put(_DrainsChanged(engines))
 
     def take_record(self, record: Record) -> None:
-        """Take a replicated record of an engine."""
-        if record.key.startswith(ENGINE_PREFIX):
-            value = msgspec.json.decode(record.value, type=EngineRecord)
-            self._mailbox.put(_RecordSeen(record.key.removeprefix(ENGINE_PREFIX), value))
+        """Apply a replicated record; records of other kinds are ignored."""
+        if record.key.startswith(ENGINE_KEY_PREFIX):
+            engine_record = msgspec.json.decode(record.value, type=EngineRecord)
+            self._mailbox.put(
+                _RecordReceived(record.key.removeprefix(ENGINE_KEY_PREFIX), engine_record)
+            )
 
     def abort_later(self, engine: EngineInfo, attempt_id: str) -> None:
-        """Abort an attempt without making the caller's thread wait for the engine."""
-        self._aborts.put(_AbortLater(engine, attempt_id))
+        """Abort an attempt in the background."""
+        self._aborts.put(_AbortRequested(engine, attempt_id))
 
     def _abort_loop(self) -> None:
         while not self._stopping.is_set():
@@ -209,32 +220,32 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             now = time.monotonic()
-            if now >= self._next_machine_list:
-                self._next_machine_list = now + MACHINE_LIST_SECONDS
+            if now >= self._next_machine_list_read:
+                self._next_machine_list_read = now + MACHINE_LIST_INTERVAL_SECONDS
                 self._read_machine_list()
-            if now >= self._next_status:
-                self._next_status = now + STATUS_SECONDS
-                self._read_own_engines()
-            due = min(self._next_machine_list, self._next_status)
+            if now >= self._next_status_read:
+                self._next_status_read = now + STATUS_INTERVAL_SECONDS
+                self._read_assigned_engines()
+            next_pass = min(self._next_machine_list_read, self._next_status_read)
             try:
-                message = self._mailbox.get(timeout=max(0.0, due - time.monotonic()))
+                message = self._mailbox.get(timeout=max(0.0, next_pass - time.monotonic()))
             except queue.Empty:
                 continue
-            self._take(message)
+            self._handle_message(message)
 
-    def _take(self, message: _Message) -> None:
-        if isinstance(message, _CheckNow):
+    def _handle_message(self, message: _Message) -> None:
+        if isinstance(message, _CheckRequested):
             recent = time.monotonic() - self._checked_at.get(message.engine, 0.0)
-            if message.engine in self._machines and recent >= _MIN_CHECK_SECONDS:
+            if message.engine in self._machines and recent >= _MIN_CHECK_INTERVAL_SECONDS:
                 self._read_status(message.engine)
-        elif isinstance(message, _RecordSeen):
-            self._records[message.name] = message.record
-            self._show(message.name)
+        elif isinstance(message, _RecordReceived):
+            self._records[message.engine] = message.record
+            self._report_engine(message.engine)
         else:
             changed = self._drained ^ message.engines
             self._drained = message.engines
             for name in changed:
-                self._show(name)
+                self._report_engine(name)
 
     def _read_machine_list(self) -> None:
         try:
@@ -250,15 +261,18 @@
             return
         self._machines = machines
         for name in list(self._records):
-            self._show(name)
+            self._report_engine(name)
 
-    def _read_own_engines(self) -> None:
+    def _read_assigned_engines(self) -> None:
         members = self._members()
-        if members is not self._duties_for_members or self._machines is not self._duties_for:
-            # Placing 850 engines each second would cost more than reading one's own.
-            self._duties_for_members, self._duties_for = members, self._machines
-            self._own_engines = own_engines(self._me, members, self._machines.values())
-        for name in self._own_engines:
+        if (
+            members is not self._assigned_for_members
+            or self._machines is not self._assigned_for_machines
+        ):
+            # Recomputed only after a change: hashing every engine on each pass is expensive.
+            self._assigned_for_members, self._assigned_for_machines = members, self._machines
+            self._assigned_engines = assigned_engines(self._me, members, self._machines.values())
+        for name in self._assigned_engines:
             self._read_status(name)
 
     def _read_status(self, name: str) -> None:
@@ -267,11 +281,13 @@
         try:
             status = self._client.status(machine.address)
         except EngineError:
-            self._misses[name] = self._misses.get(name, 0) + 1
-            if self._misses[name] >= MISSES_UNTIL_DOWN and name in self._records:
-                self._learn(name, msgspec.structs.replace(self._records[name], state="down"))
+            self._failed_reads[name] = self._failed_reads.get(name, 0) + 1
+            if self._failed_reads[name] >= FAILED_READS_UNTIL_DOWN and name in self._records:
+                self._update_record(
+                    name, msgspec.structs.replace(self._records[name], state="down")
+                )
             return
-        self._misses[name] = 0
+        self._failed_reads[name] = 0
         record = EngineRecord(
             machine.address,
             machine.zone,
@@ -280,39 +296,39 @@
             status.weights_version,
             status.engine_state(),
         )
-        self._learn(name, record)
+        self._update_record(name, record)
         self._router.observe_load(name, status.running, status.waiting)
 
-    def _learn(self, name: str, record: EngineRecord) -> None:
+    def _update_record(self, name: str, record: EngineRecord) -> None:
         record = msgspec.structs.replace(record, state=EngineState(record.state))
         if self._records.get(name) == record:
             return
         self._records[name] = record
-        self._publish(ENGINE_PREFIX + name, record)
-        self._show(name)
+        self._publish(ENGINE_KEY_PREFIX + name, record)
+        self._report_engine(name)
 
-    def _show(self, name: str) -> None:
-        """Tell the router what follows from all signals together."""
+    def _report_engine(self, name: str) -> None:
+        """Report an engine's effective state to the router if it has changed."""
         record = self._records.get(name)
         if record is None:
             return
         machine = self._machines.get(name)
         state = effective_state(record.state, machine, name in self._drained)
         info = replace(record.info(name), state=state)
-        before = self._shown.get(name)
-        if info == before:
+        previous = self._reported.get(name)
+        if info == previous:
             return
-        self._shown[name] = info
-        self._log_change(info, before)
+        self._reported[name] = info
+        self._log_change(info, previous)
         self._router.update_engine(info)
 
     @staticmethod
-    def _log_change(info: EngineInfo, before: EngineInfo | None) -> None:
+    def _log_change(info: EngineInfo, previous: EngineInfo | None) -> None:
         fields = {"engine": info.name, "incarnation": info.incarnation, "zone": info.zone}
-        if before is None or before.state is not info.state:
+        if previous is None or previous.state is not info.state:
             log_event(_STATE_EVENTS[info.state], **fields)
-        if before is not None and before.incarnation != info.incarnation:
+        if previous is not None and previous.incarnation != info.incarnation:
             log_event(LogEvent.ENGINE_REPLACED, **fields)
-        if before is not None and before.weights_version != info.weights_version:
+        if previous is not None and previous.weights_version != info.weights_version:
             version = info.weights_version
             log_event(LogEvent.ENGINE_VERSION_CHANGED, weights_version=version, **fields)
--- a/src/wheelslip/machines/__init__.py
+++ b/src/wheelslip/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's machine list: live and leaving machines, behind reality."""
+"""Client for the platform's list of machines, which is updated with a delay."""
--- a/src/wheelslip/machines/client.py
+++ b/src/wheelslip/machines/client.py
@@ -1,4 +1,4 @@
-"""Reader of the machine list."""
+"""Client for the platform's machine list."""
 
 import enum
 
@@ -9,21 +9,21 @@
 
 
 class MachineState(enum.StrEnum):
-    """What the list says of a machine."""
+    """State of a machine in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class MachineRole(enum.StrEnum):
-    """What runs on a machine."""
+    """Kind of process that runs on a machine."""
 
     ENGINE = "engine"
     NODE = "node"
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """One row of the machine list."""
+    """One entry of the machine list."""
 
     name: str
     address: str
@@ -33,29 +33,31 @@
 
 
 class _MachineList(msgspec.Struct):
+    """Body of the machine list's response."""
+
     machines: tuple[Machine, ...]
 
 
 class MachineListUnavailable(Exception):
-    """The machine list could not be read."""
+    """Raised when the machine list cannot be read."""
 
 
 class MachineListClient:
-    """Reads ``GET /machines`` and keeps the last answer for ``304 Not Modified``."""
+    """Reads ``GET /machines``, and caches the list for ``304 Not Modified`` responses."""
 
     def __init__(self, address: str, timeout_seconds: float):
         self._url = f"http://{address}/machines"
         self._pool = urllib3.PoolManager(maxsize=1, retries=False, timeout=timeout_seconds)
-        self._tag = ""
+        self._etag = ""
         self._machines: tuple[Machine, ...] = ()
 
     def read(self) -> tuple[Machine, ...]:
-        """Return the machines listed now.
+        """Return the currently listed machines.
 
-        :raises MachineListUnavailable: when there is no usable answer.
+        :raises MachineListUnavailable: when there is no valid response.
         """
         try:
-            response = self._pool.request("GET", self._url, headers={"If-None-Match": self._tag})
+            response = self._pool.request("GET", self._url, headers={"If-None-Match": self._etag})
             if response.status == _NOT_MODIFIED:
                 return self._machines
             if response.status != 200:
@@ -63,5 +65,5 @@
             self._machines = msgspec.json.decode(response.data, type=_MachineList).machines
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError) as error:
             raise MachineListUnavailable(str(error)) from error
-        self._tag = response.headers.get("ETag", "")
+        self._etag = response.headers.get("ETag", "")
         return self._machines
