--- a/tests/probe/callers.py
+++ b/tests/probe/callers.py
@@ -1,4 +1,4 @@
-"""Callers for the probe tests: each checks that an answer is whole and its own."""
+"""Callers for the probe tests, which compare each response with the expected tokens."""
 
 import json
 import threading
@@ -16,7 +16,7 @@
 
 @dataclass
 class Outcome:
-    """What one caller saw."""
+    """Result of one call."""
 
     status: int = 0
     tokens: list[str] = field(default_factory=list)
@@ -32,7 +32,7 @@
 
     @property
     def whole(self) -> bool:
-        """Every token of this caller's own answer, once and in order, and the end."""
+        """Whether the response has exactly the expected tokens, in order, and its end."""
         return self.status == 200 and self.done and self.tokens == self.expected
 
     @property
@@ -62,12 +62,11 @@
 
 
 def send(cluster, node, body, headers=None, key=API_KEY, on_token=None, timeout=60.0):
-    """Send one chat and return what came back; never raises."""
+    """Send one chat completion and return its outcome; connection errors are recorded in it."""
     outcome = Outcome(expected=expected_tokens(body))
     began = time.monotonic()
-    # A connection of its own for each call: a kept one may be closed by the node just as it
-    # is used again, which would look like an answer that ended in silence.
-    # A long deadline where a test names none, so that a busy machine decides no verdict.
+    # No connection reuse: the node may close a pooled connection just as it is reused.
+    # The default deadline is long, so that results do not depend on the machine's load.
     all_headers = {
         "Authorization": f"Bearer {key}",
         "Connection": "close",
@@ -115,11 +114,11 @@
             if on_token is not None:
                 on_token(outcome)
     if not outcome.done and outcome.error is None:
-        outcome.failure = "stream ended in silence"
+        outcome.failure = "stream ended without done event or error"
 
 
 class Callers:
-    """Many callers at once; each call uses a nonce of its own."""
+    """Runs concurrent calls; each uses a unique nonce."""
 
     def __init__(self, cluster):
         self._cluster = cluster
@@ -144,5 +143,5 @@
     def join(self):
         for thread in self._threads:
             thread.join(120)
-            assert not thread.is_alive(), "a caller hangs"
+            assert not thread.is_alive(), "a call did not finish"
         return self.outcomes
--- a/tests/probe/conftest.py
+++ b/tests/probe/conftest.py
@@ -1,4 +1,4 @@
-"""Clusters of real processes for the probe tests."""
+"""Fixtures that start clusters of real processes for the probe tests."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def make_cluster(tmp_path):
-    """Start a cluster with the Thibodeau declarations in force at every node."""
+    """Return a function that starts a cluster with the Thibodeau example configuration."""
     started = []
 
     def _make(engines=2, nodes=2, engine_options=None, limits=None, **options):
@@ -27,7 +27,7 @@
         cluster.start()
         cluster.wait_configuration("node-1")
         cluster.apply("node-1", "examples/thibodeau")
-        # It reaches the other nodes a moment later: a request there is refused until then.
+        # Other nodes refuse requests until the configuration has reached them.
         cluster.wait_revision_of("node-1")
         cluster.wait_engines(engines)
         cluster.wait_members(nodes)
--- a/tests/probe/judge.py
+++ b/tests/probe/judge.py
@@ -1,4 +1,4 @@
-"""Judges what the engines' run log and the callers' outcomes say together."""
+"""Assertions that compare the engines' run logs with the callers' outcomes."""
 
 from collections import Counter
 
@@ -14,38 +14,47 @@
 
 
 def accepted_counts(cluster):
-    """How often engines took each prompt in."""
+    """Return how many runs engines accepted, by digest of the prompt."""
     return Counter(run["base_prompt_digest"] for run in cluster.runs("accepted"))
 
 
 def assert_only_own_state(cluster):
-    """No answer was computed from state of another tenant, other weights, another process."""
+    """Assert that runs use only cached state of their own tenant and weights version.
+
+    Each run must also be of the incarnation and weights version that its request required.
+    """
     runs = cluster.runs("started")
     assert runs
     for run in runs:
-        own = [run["user"], run["weights_version"]]
-        assert all(origin == own for origin in run["cached_from"]), run
+        expected_origin = [run["user"], run["weights_version"]]
+        assert all(origin == expected_origin for origin in run["cached_from"]), run
         assert run["demanded"] == [run["incarnation"], run["weights_version"]], run
 
 
 def assert_not_run_is_true(cluster, outcomes):
-    """No request whose caller was told ``not_run`` was taken in by an engine."""
+    """Assert that no request reported as ``not_run`` was accepted by an engine.
+
+    :return: the number of such requests.
+    """
     counts = accepted_counts(cluster)
-    told = [one for one in outcomes if one.run_state == "not_run"]
-    lies = [one.kind for one in told if counts[digest_of(one.nonce)]]
-    assert lies == []
-    return len(told)
+    reported = [outcome for outcome in outcomes if outcome.run_state == "not_run"]
+    accepted_kinds = [outcome.kind for outcome in reported if counts[digest_of(outcome.nonce)]]
+    assert accepted_kinds == []
+    return len(reported)
 
 
 def assert_own_and_whole(outcomes):
-    """Every answer is its caller's own; every stream ends in done or an explicit error."""
-    for one in outcomes:
-        assert one.tokens == one.expected[: len(one.tokens)], (one.tokens, one.expected)
-        assert one.whole or one.error is not None, one
+    """Assert that responses have no foreign tokens, and are complete or end in an error."""
+    for outcome in outcomes:
+        assert outcome.tokens == outcome.expected[: len(outcome.tokens)], (
+            outcome.tokens,
+            outcome.expected,
+        )
+        assert outcome.whole or outcome.error is not None, outcome
 
 
 def assert_at_most_once(cluster, nonces):
-    """No prompt of these was taken in twice."""
+    """Assert that no prompt was accepted more than once."""
     counts = accepted_counts(cluster)
-    twice = {nonce: counts[digest_of(nonce)] for nonce in nonces if counts[digest_of(nonce)] > 1}
-    assert twice == {}
+    repeated = {nonce: counts[digest_of(nonce)] for nonce in nonces if counts[digest_of(nonce)] > 1}
+    assert repeated == {}
--- a/tests/probe/test_api_page.py
+++ b/tests/probe/test_api_page.py
@@ -1,4 +1,4 @@
-"""Runs the commands of docs/API.md against a real node."""
+"""The commands of docs/API.md succeed against a real node."""
 
 import os
 import pathlib
--- a/tests/probe/test_at_most_once.py
+++ b/tests/probe/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Promise 6: a request that may not be repeated runs at most once."""
+"""A non-repeatable request runs at most once (guarantee 6)."""
 
 import threading
 import time
@@ -11,11 +11,11 @@
 from tests.probe.judge import assert_at_most_once, assert_own_and_whole, digest_of
 
 
-def notice(nonce, tokens=8):
+def notice_body(nonce, tokens=8):
     return chat_body(nonce, model="notice", tokens=tokens)
 
 
-def key(name, deadline="10"):
+def key_headers(name, deadline="10"):
     return {"Idempotency-Key": name, "X-Deadline-Seconds": deadline}
 
 
@@ -24,11 +24,11 @@
     return [run for run in cluster.runs("accepted") if run["base_prompt_digest"] == digest]
 
 
-def retry_elsewhere(cluster, node, nonce, headers, tokens=8, seconds=30.0):
-    """Repeat a key as a caller does: while told to come back."""
+def send_until_final(cluster, node, nonce, headers, tokens=8, seconds=30.0):
+    """Send a request repeatedly while its error permits a retry."""
     give_up_at = time.monotonic() + seconds
     while True:
-        outcome = send(cluster, node, notice(nonce, tokens), headers)
+        outcome = send(cluster, node, notice_body(nonce, tokens), headers)
         if outcome.whole or time.monotonic() > give_up_at:
             return outcome
         if outcome.error is not None and not outcome.error["retry"]:
@@ -38,12 +38,12 @@
 
 def test_repeats_of_a_key_get_the_kept_answer(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
-    first = send(cluster, "node-1", notice("kept"), key("k"))
-    again = send(cluster, "node-2", notice("kept"), key("k"))
-    plain = send(cluster, "node-2", notice("kept") | {"stream": False}, key("k"))
-    assert first.whole and again.whole and plain.whole
+    first = send(cluster, "node-1", notice_body("kept"), key_headers("k"))
+    repeated = send(cluster, "node-2", notice_body("kept"), key_headers("k"))
+    plain = send(cluster, "node-2", notice_body("kept") | {"stream": False}, key_headers("k"))
+    assert first.whole and repeated.whole and plain.whole
     assert len(runs_of(cluster, "kept")) == 1
-    other = send(cluster, "node-1", notice("another body"), key("k"))
+    other = send(cluster, "node-1", notice_body("another body"), key_headers("k"))
     assert other.kind == "idempotency_key_reused"
     assert runs_of(cluster, "another body") == []
 
@@ -54,7 +54,7 @@
     nonces = [f"race{n}" for n in range(10)]
 
     def call(node, nonce):
-        outcomes.append(retry_elsewhere(cluster, node, nonce, key(nonce)))
+        outcomes.append(send_until_final(cluster, node, nonce, key_headers(nonce)))
 
     threads = [
         threading.Thread(target=call, args=(node, nonce))
@@ -76,7 +76,9 @@
     nonces = [f"step{n}" for n in range(5)]
     callers = [
         threading.Thread(
-            target=send, args=(cluster, "node-1", notice(nonce, 20), key(nonce)), daemon=True
+            target=send,
+            args=(cluster, "node-1", notice_body(nonce, 20), key_headers(nonce)),
+            daemon=True,
         )
         for nonce in nonces
     ]
@@ -85,7 +87,8 @@
     time.sleep(kill_after_seconds)
     cluster.processes["node-1"].kill()
     outcomes = [
-        retry_elsewhere(cluster, "node-2", nonce, key(nonce), tokens=20) for nonce in nonces
+        send_until_final(cluster, "node-2", nonce, key_headers(nonce), tokens=20)
+        for nonce in nonces
     ]
     assert all(outcome.whole for outcome in outcomes), outcomes
     assert_at_most_once(cluster, nonces)
@@ -100,12 +103,12 @@
     nonces = [f"lost{n}" for n in range(6)]
 
     def call(nonce):
-        outcomes.append(retry_elsewhere(cluster, "node-1", nonce, key(nonce)))
+        outcomes.append(send_until_final(cluster, "node-1", nonce, key_headers(nonce)))
 
     threads = [threading.Thread(target=call, args=(nonce,)) for nonce in nonces]
     for thread in threads:
         thread.start()
-    wait_until(lambda: proxy.lost_answers >= 6, "six answers are lost")
+    wait_until(lambda: proxy.lost_answers >= 6, "six replies are lost")
     proxy.fault = Fault.PASS
     for thread in threads:
         thread.join()
@@ -115,18 +118,20 @@
 
 
 def test_attempt_that_arrives_after_its_claim_passed_on_is_refused(make_cluster):
-    """The owner's request is held on its way; it arrives after another node took over."""
+    """The owner's request is delayed until after another node has taken the claim over."""
     cluster = make_cluster(engines=2, nodes=2)
     owner_host = cluster.host("node-1")
     for proxy in cluster.engine_proxies.values():
         proxy.held_sources = {owner_host}
     results = []
     owner = threading.Thread(
-        target=lambda: results.append(send(cluster, "node-1", notice("held"), key("held", "30")))
+        target=lambda: results.append(
+            send(cluster, "node-1", notice_body("held"), key_headers("held", "30"))
+        )
     )
     owner.start()
     time.sleep(1.0)
-    other = retry_elsewhere(cluster, "node-2", "held", key("held"))
+    other = send_until_final(cluster, "node-2", "held", key_headers("held"))
     assert other.whole, other
     for proxy in cluster.engine_proxies.values():
         proxy.held_sources = set()
@@ -137,20 +142,20 @@
 
 
 def test_owner_paused_while_another_node_takes_over(make_cluster):
-    """The paused node still believes it holds the claim when it goes on."""
+    """The paused owner resumes with an outdated view of its claim."""
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.engine_proxies.values():
         proxy.held_sources = {cluster.host("node-1")}
     results = []
     owner = threading.Thread(
         target=lambda: results.append(
-            send(cluster, "node-1", notice("paused"), key("paused", "30"))
+            send(cluster, "node-1", notice_body("paused"), key_headers("paused", "30"))
         )
     )
     owner.start()
     time.sleep(0.5)
     cluster.processes["node-1"].pause()
-    other = retry_elsewhere(cluster, "node-2", "paused", key("paused"))
+    other = send_until_final(cluster, "node-2", "paused", key_headers("paused"))
     for proxy in cluster.engine_proxies.values():
         proxy.held_sources = set()
     cluster.processes["node-1"].resume()
@@ -168,47 +173,53 @@
         if len(outcome.tokens) == 5 and not killed:
             incarnation = cluster.runs("accepted")[-1]["incarnation"]
             engines = cluster.status("node-1")["engines"]
-            name = next(one["name"] for one in engines if one["incarnation"] == incarnation)
+            name = next(
+                engine["name"] for engine in engines if engine["incarnation"] == incarnation
+            )
             killed.append(name)
             cluster.processes[name].kill()
             cluster.start_engine(name)
 
-    outcome = send(cluster, "node-1", notice("dead", 40), key("dead"), on_token=kill)
+    outcome = send(cluster, "node-1", notice_body("dead", 40), key_headers("dead"), on_token=kill)
     assert killed and outcome.run_state == "may_have_run"
-    again = retry_elsewhere(cluster, "node-1", "dead", key("dead"), 40)
-    assert again.kind == "claim_lost"
+    repeated = send_until_final(cluster, "node-1", "dead", key_headers("dead"), 40)
+    assert repeated.kind == "claim_lost"
     assert len(runs_of(cluster, "dead")) == 1
 
 
 def test_frozen_engine_is_joined_again_when_it_answers(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
-    frozen = []
+    paused = []
 
-    def freeze(outcome):
-        if len(outcome.tokens) == 5 and not frozen:
+    def pause(outcome):
+        if len(outcome.tokens) == 5 and not paused:
             incarnation = cluster.runs("accepted")[-1]["incarnation"]
             engines = cluster.status("node-1")["engines"]
-            name = next(one["name"] for one in engines if one["incarnation"] == incarnation)
-            frozen.append(name)
+            name = next(
+                engine["name"] for engine in engines if engine["incarnation"] == incarnation
+            )
+            paused.append(name)
             cluster.processes[name].pause()
             threading.Timer(4.0, cluster.processes[name].resume).start()
 
-    outcome = send(cluster, "node-1", notice("ice", 40), key("ice", "30"), on_token=freeze)
-    assert frozen
+    outcome = send(
+        cluster, "node-1", notice_body("ice", 40), key_headers("ice", "30"), on_token=pause
+    )
+    assert paused
     assert outcome.whole, outcome
     assert len(runs_of(cluster, "ice")) == 1
 
 
 def test_caller_gone_leaves_the_attempt_to_finish_for_a_repeat(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
-    body = notice("gone", 60)
+    body = notice_body("gone", 60)
     url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
-    headers = key("gone") | {"Authorization": "Bearer thibodeau-key"}
+    headers = key_headers("gone") | {"Authorization": "Bearer thibodeau-key"}
     response = cluster.http.request("POST", url, json=body, headers=headers, preload_content=False)
     response.read1(10)
     response.close()
-    again = retry_elsewhere(cluster, "node-1", "gone", key("gone"), 60)
-    assert again.whole
+    repeated = send_until_final(cluster, "node-1", "gone", key_headers("gone"), 60)
+    assert repeated.whole
     assert len(runs_of(cluster, "gone")) == 1
 
 
@@ -216,7 +227,7 @@
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.key_value_proxies.values():
         proxy.fault = Fault.REFUSE
-    refused = send(cluster, "node-1", notice("out"), key("out", "0.5"))
+    refused = send(cluster, "node-1", notice_body("out"), key_headers("out", "0.5"))
     lookup = send(cluster, "node-2", chat_body("lookup goes on"))
     assert refused.kind == "claim_store_unavailable" and refused.run_state == "not_run"
     assert "Retry-After" in refused.headers and refused.seconds < 5
@@ -224,21 +235,21 @@
     assert runs_of(cluster, "out") == []
     for proxy in cluster.key_value_proxies.values():
         proxy.fault = Fault.PASS
-    assert retry_elsewhere(cluster, "node-2", "out", key("out")).whole
+    assert send_until_final(cluster, "node-2", "out", key_headers("out")).whole
     assert len(runs_of(cluster, "out")) == 1
 
 
 def test_zone_cut_in_two_claims_once(make_cluster):
-    """node-1 cannot reach the engine that node-2's claim names, nor node-2 itself."""
+    """Engine responses reach neither node until the partition ends."""
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.engine_proxies.values():
         proxy.fault = Fault.BLACKHOLE_TO_CLIENT
-    first = send(cluster, "node-2", notice("cut"), key("cut", "1"))
+    first = send(cluster, "node-2", notice_body("cut"), key_headers("cut", "1"))
     assert first.error is not None and first.run_state == "may_have_run", first
-    second = send(cluster, "node-1", notice("cut"), key("cut", "1"))
+    second = send(cluster, "node-1", notice_body("cut"), key_headers("cut", "1"))
     assert second.run_state == "may_have_run"
     for proxy in cluster.engine_proxies.values():
         proxy.fault = Fault.PASS
-    healed = retry_elsewhere(cluster, "node-1", "cut", key("cut"))
+    healed = send_until_final(cluster, "node-1", "cut", key_headers("cut"))
     assert healed.whole, healed
     assert len(runs_of(cluster, "cut")) == 1
--- a/tests/probe/test_not_run.py
+++ b/tests/probe/test_not_run.py
@@ -1,4 +1,4 @@
-"""Promise 5: when a caller is told ``not_run``, no engine took the request in."""
+"""No engine accepted a request that is reported as ``not_run`` (guarantee 5)."""
 
 import random
 import time
@@ -32,20 +32,20 @@
         time.sleep(0.05)
     outcomes = callers.join()
     assert_own_and_whole(outcomes)
-    told = assert_not_run_is_true(cluster, outcomes)
+    not_run_count = assert_not_run_is_true(cluster, outcomes)
     refused = [outcome for outcome in outcomes if outcome.error]
-    assert refused and told <= len(refused)
+    assert refused and not_run_count <= len(refused)
 
 
 def test_not_run_is_true_under_changing_faults(make_cluster):
     cluster = make_cluster(engines=2, nodes=2, limits={"engine_stall_seconds": 0.5})
-    source = random.Random(5)
+    random_source = random.Random(5)
     callers = Callers(cluster)
     for n in range(120):
         if n % 6 == 0:
-            proxy = source.choice(list(cluster.engine_proxies.values()))
-            proxy.cut_bytes = source.randrange(2000)
-            proxy.fault = source.choice([*FAULTS, Fault.PASS, Fault.PASS])
+            proxy = random_source.choice(list(cluster.engine_proxies.values()))
+            proxy.cut_bytes = random_source.randrange(2000)
+            proxy.fault = random_source.choice([*FAULTS, Fault.PASS, Fault.PASS])
         headers = {"Idempotency-Key": f"k{n}", "X-Deadline-Seconds": "2"}
         callers.start(f"node-{n % 2 + 1}", headers, model="notice" if n % 2 else "lookup")
         time.sleep(0.05)
--- a/tests/probe/test_own_answer.py
+++ b/tests/probe/test_own_answer.py
@@ -1,4 +1,4 @@
-"""Promise 4: every caller gets the whole answer to its own request."""
+"""Every caller receives the complete response to its own request (guarantee 4)."""
 
 import threading
 import time
@@ -24,7 +24,7 @@
 
 
 def test_late_answer_after_a_timeout_reaches_nobody_else(make_cluster):
-    """The engine freezes past the stall time and answers late on its old connection."""
+    """The engine pauses past the stall timeout and responds late on its old connection."""
     cluster = make_cluster(engines=2, nodes=1, limits={"engine_stall_seconds": 0.5})
     for n in range(6):
         assert send(cluster, "node-1", chat_body(f"pool{n}")).whole
@@ -54,10 +54,9 @@
 
 
 def test_nodes_compute_a_cold_prefix_once_between_them(make_cluster):
-    """Requests on a cold prefix arrive at three nodes at once; its home lets one compute.
+    """The home node of a prefix grants its prefill to one of three nodes at a time.
 
-    Each of the three nodes alone would compute each of the four prefixes: twelve times. The
-    wait for a home is long here, so that a busy machine does not decide the count.
+    Uncoordinated nodes would compute the four prefixes twelve times.
     """
     cluster = make_cluster(engines=3, nodes=3, limits={"home_answer_seconds": 5.0})
     callers = Callers(cluster)
--- a/tests/probe/test_path.py
+++ b/tests/probe/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes, and what bad input meets."""
+"""The request path across separate processes, with valid and invalid input."""
 
 import json
 import socket
@@ -78,7 +78,7 @@
     assert "wheelslip_live_members 2.0" in metrics
 
 
-BAD_BODIES = {
+INVALID_BODIES = {
     "not JSON": (b"{", "invalid_request", "body"),
     "not an object": (b"[]", "invalid_request", "body"),
     "deeply nested": (b'{"a":' * 20000, "invalid_request", "body"),
@@ -109,16 +109,16 @@
 }
 
 
-@pytest.mark.parametrize("name", list(BAD_BODIES))
+@pytest.mark.parametrize("name", list(INVALID_BODIES))
 def test_bad_bodies_get_a_clear_4xx(cluster, name):
-    body, kind, place = BAD_BODIES[name]
+    body, kind, field = INVALID_BODIES[name]
     url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
     response = cluster.http.request(
         "POST", url, body=body, headers={"Authorization": f"Bearer {API_KEY}"}
     )
     error = response.json()["error"]
     assert 400 <= response.status < 500
-    assert error["code"] == kind and place in error["message"]
+    assert error["code"] == kind and field in error["message"]
     assert error["run_state"] == "not_run"
 
 
@@ -142,19 +142,19 @@
     assert send(cluster, "node-1", chat_body("after")).whole
 
 
-def raw_request(cluster, body, announced=None):
+def raw_request(cluster, body, content_length=None):
     host, _, port = cluster.callers("node-1").partition(":")
     connection = socket.create_connection((host, int(port)), timeout=20)
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-        f"Authorization: Bearer {API_KEY}\r\nContent-Length: {announced or len(body)}\r\n\r\n"
+        f"Authorization: Bearer {API_KEY}\r\nContent-Length: {content_length or len(body)}\r\n\r\n"
     )
     connection.sendall(head.encode() + body)
     return connection
 
 
 def test_half_sent_body_gets_an_answer_or_a_closed_connection(cluster):
-    with raw_request(cluster, b'{"model": ', announced=1000) as connection:
+    with raw_request(cluster, b'{"model": ', content_length=1000) as connection:
         received = connection.recv(65536)
     assert received == b"" or b" 408 " in received.split(b"\r\n")[0]
     assert send(cluster, "node-1", chat_body("after")).whole
@@ -171,7 +171,7 @@
     connection = raw_request(cluster, json.dumps(body).encode())
     connection.recv(1024)
     connection.close()
-    wait_until(lambda: aborted_runs(cluster, digest), "the engine's work is stopped")
+    wait_until(lambda: aborted_runs(cluster, digest), "the engine aborts the run")
     assert send(cluster, "node-1", chat_body("after")).whole
 
 
@@ -188,7 +188,7 @@
         f"Authorization: Bearer {API_KEY}\r\nContent-Length: {len(payload)}\r\n\r\n"
     )
     connection.sendall(head.encode() + payload)
-    wait_until(lambda: aborted_runs(cluster, digest), "the engine's work is stopped", 90)
+    wait_until(lambda: aborted_runs(cluster, digest), "the engine aborts the run", 90)
     connection.close()
     assert send(cluster, "node-1", chat_body("after")).whole
 
--- a/tests/probe/test_retries.py
+++ b/tests/probe/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries stay within their budget, and a request given up on is answered at once."""
+"""Retries stay within their budget, and failed requests return without delay."""
 
 import time
 
@@ -12,8 +12,8 @@
 def test_outage_of_half_the_engines_adds_no_more_attempts_than_the_budget(make_cluster):
     cluster = make_cluster(engines=4, nodes=1)
     proxies = cluster.engine_proxies
-    down = [proxies["engine-1"], proxies["engine-2"]]
-    for proxy in down:
+    faulty_proxies = [proxies["engine-1"], proxies["engine-2"]]
+    for proxy in faulty_proxies:
         proxy.cut_bytes = 40
         proxy.fault = Fault.CUT_AFTER_BYTES
     callers = Callers(cluster)
@@ -33,7 +33,7 @@
 
 
 def test_request_given_up_on_is_answered_at_once(make_cluster):
-    """All engines refuse: the answer does not wait for the deadline of 60 s."""
+    """Every engine refuses connections; the error is returned well before the deadline."""
     cluster = make_cluster(engines=2, nodes=1)
     for proxy in cluster.engine_proxies.values():
         proxy.fault = Fault.REFUSE
--- a/tests/probe/test_streams.py
+++ b/tests/probe/test_streams.py
@@ -1,4 +1,4 @@
-"""Promise 2: every stream is complete and in order, or ends in an explicit error."""
+"""Every stream is complete and in order, or ends in an error event (guarantee 2)."""
 
 import time
 
@@ -31,19 +31,19 @@
 )
 @given(cut=st.integers(min_value=0, max_value=4500), stream=st.booleans())
 def test_connection_cut_at_any_byte(small_cluster, cut, stream):
-    """8 tokens take about 2,500 bytes from the engine; the proxy cuts each connection once."""
+    """The stream has about 2,500 bytes, so that some cuts are beyond its end."""
     small_cluster.wait_engines(1)
     proxy = small_cluster.engine_proxies["engine-1"]
     proxy.cut_bytes = cut
-    # Readings of the engine's status pass: after two that are cut the node rightly serves nobody.
+    # Status reads are not cut: two failed reads would mark the only engine as down.
     proxy.spare = b"GET /status "
     proxy.fault = Fault.CUT_AFTER_BYTES
     callers = Callers(small_cluster)
     callers.start("node-1", stream=stream)
-    # The first connection is cut; its resumption passes.
-    before = proxy.connections
+    # Only the first connection is cut, not the resumed one.
+    previous_connections = proxy.connections
     deadline = time.monotonic() + 0.05
-    while proxy.connections == before and time.monotonic() < deadline:
+    while proxy.connections == previous_connections and time.monotonic() < deadline:
         time.sleep(0.001)
     time.sleep(0.02)
     proxy.fault = Fault.PASS
@@ -55,7 +55,7 @@
     cluster = make_cluster(engines=2, nodes=1)
     killed = []
 
-    def kill_the_one_that_serves(outcome):
+    def kill_serving_engine(outcome):
         if len(outcome.tokens) == 5 and not killed:
             incarnation = cluster.runs("started")[-1]["incarnation"]
             name = engine_of(cluster, incarnation)
@@ -63,7 +63,7 @@
             cluster.processes[name].kill()
 
     body = chat_body("killed", tokens=40)
-    outcome = send(cluster, "node-1", body, on_token=kill_the_one_that_serves)
+    outcome = send(cluster, "node-1", body, on_token=kill_serving_engine)
     assert killed
     assert outcome.whole, outcome
     assert outcome.usage is None or outcome.usage["completion_tokens"] == 40
@@ -71,16 +71,16 @@
 
 def test_engine_frozen_mid_stream_continues_elsewhere(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
-    frozen = []
+    paused = []
 
-    def freeze(outcome):
-        if len(outcome.tokens) == 5 and not frozen:
+    def pause(outcome):
+        if len(outcome.tokens) == 5 and not paused:
             name = engine_of(cluster, cluster.runs("started")[-1]["incarnation"])
-            frozen.append(name)
+            paused.append(name)
             cluster.processes[name].pause()
 
-    outcome = send(cluster, "node-1", chat_body("frozen", tokens=40), on_token=freeze)
-    assert frozen
+    outcome = send(cluster, "node-1", chat_body("frozen", tokens=40), on_token=pause)
+    assert paused
     assert outcome.whole, outcome
 
 
@@ -120,4 +120,4 @@
 
 def engine_of(cluster, incarnation):
     engines = cluster.status("node-1")["engines"]
-    return next(one["name"] for one in engines if one["incarnation"] == incarnation)
+    return next(engine["name"] for engine in engines if engine["incarnation"] == incarnation)
