--- a/bench/soak.py
+++ b/bench/soak.py
@@ -23,7 +23,7 @@
 from standins.cluster import Cluster, EngineSpec, NodeSpec, wait_until
 from standins.fault_proxy import Fault
 from tests.probe.callers import Outcome, chat_body, send
-from tests.probe.judge import accepted_counts, digest_of
+from tests.probe.judge import accepted_counts, prompt_digest
 
 _THIBODEAU = "thibodeau-key"
 _TBILISI = "tbilisi-key"
@@ -221,7 +221,7 @@
             outcome = send(self._cluster, node, body, headers, key=key, timeout=20)
             call.outcomes.append((node, outcome))
             again = bool(outcome.failure) or (outcome.error or {}).get("retry", False)
-            if call.repeatable or outcome.whole or not again or time.monotonic() > give_up_at:
+            if call.repeatable or outcome.is_complete or not again or time.monotonic() > give_up_at:
                 return
             time.sleep(0.2)
 
@@ -285,7 +285,7 @@
 
 def _check_call(call: Call, counts: Counter, killed: set[str]) -> list[str]:
     violations = []
-    runs = counts[digest_of(call.nonce)]
+    runs = counts[prompt_digest(call.nonce)]
     if not call.repeatable and runs > 1:
         violations.append(f"{call.workload} {call.nonce} ran {runs} times")
     for node, outcome in call.outcomes:
@@ -293,7 +293,7 @@
             violations.append(f"{call.workload} {call.nonce}: not its own answer")
         if outcome.failure and node not in killed:
             violations.append(f"{call.nonce} at {node}: ended in silence: {outcome.failure}")
-        if not outcome.whole and outcome.error is None and not outcome.failure:
+        if not outcome.is_complete and outcome.error is None and not outcome.failure:
             violations.append(f"{call.nonce}: neither whole nor an error")
         if outcome.kind in ("authentication_failed", "model_not_found"):
             violations.append(f"{call.workload} at {node}: {outcome.kind}: {outcome.error}")
@@ -360,11 +360,13 @@
     outcomes = [outcome for call in history.calls for _, outcome in call.outcomes]
     finals = [call.outcomes[-1][1] for call in history.calls]
     claimed = [call for call in history.calls if not call.repeatable]
-    claimed_whole = sum(call.outcomes[-1][1].whole for call in claimed)
-    kinds = Counter(outcome.kind or "broken connection" for outcome in finals if not outcome.whole)
+    claimed_whole = sum(call.outcomes[-1][1].is_complete for call in claimed)
+    kinds = Counter(
+        outcome.kind or "broken connection" for outcome in finals if not outcome.is_complete
+    )
     lines = [
         f"seed {seed}: {len(history.faults)} faults, {len(history.calls)} requests, "
-        f"{len(outcomes)} calls, {sum(one.whole for one in finals)} whole",
+        f"{len(outcomes)} calls, {sum(one.is_complete for one in finals)} whole",
         f"not repeatable: {claimed_whole} of {len(claimed)} whole in the end",
         f"not whole: {dict(kinds)}",
         f"changes: {dict(Counter(change.told for change in history.changes))}",
--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -72,7 +72,7 @@
         "callers/attempt.py",
         "stream = self._resume(str(error))\n\n    def _resume",
         "raise AttemptLost(str(error)) from error\n\n    def _resume",
-        "test_streams.py::test_connection_cut_at_any_byte",
+        "test_streams.py::test_response_is_complete_after_connection_cut_at_any_byte",
     ),
     _one(
         "continuation forgets what was delivered",
@@ -80,7 +80,7 @@
         "callers/call.py",
         "if not delivered.tokens:\n            return document",
         "if document:\n            return document",
-        "test_streams.py::test_engine_killed_mid_stream_continues_elsewhere",
+        "test_streams.py::test_stream_continues_at_another_engine_after_kill",
     ),
     _one(
         "stream ends in silence",
@@ -88,7 +88,7 @@
         "callers/answer.py",
         'yield b"id: %d\\nevent: error\\ndata: %s\\n\\n" % (event_id + 1, body)',
         "del body",
-        "test_streams.py::test_last_engine_killed_mid_stream_ends_in_an_explicit_error",
+        "test_streams.py::test_stream_ends_in_error_event_after_only_engine_is_killed",
     ),
     Mutation(
         "peers not asked at boot",
@@ -109,7 +109,7 @@
         "engines/client.py",
         "if echoed != attempt_id:",
         "if echoed is None:",
-        "test_own_answer.py::test_two_answers_swapped_between_connections",
+        "test_own_answer.py::test_responses_swapped_between_connections_are_not_delivered",
     ),
     _one(
         "only the last attempt counts",
@@ -117,7 +117,7 @@
         "callers/relay.py",
         "self._may_have_run |= not not_run",
         "self._may_have_run = not not_run and self._delivered.tokens > 0",
-        "test_not_run.py::test_not_run_is_true_under_changing_faults",
+        "test_not_run.py::test_not_run_is_accurate_under_changing_faults",
     ),
     _one(
         "a claim of another attempt is taken for one's own",
@@ -125,7 +125,7 @@
         "keyvalue/claims.py",
         "held.record.attempt_id == record.attempt_id",
         "held is not None",
-        "test_at_most_once.py::test_same_key_at_all_nodes_at_the_same_time",
+        "test_at_most_once.py::test_concurrent_requests_with_same_key_run_once",
     ),
     _one(
         "no tombstone before a takeover",
@@ -133,7 +133,7 @@
         "callers/attempt.py",
         "state = self._client.tombstone(target.engine, target.attempt_id)",
         "state = AttemptState.NEVER_SEEN",
-        "test_at_most_once.py::test_attempt_that_arrives_after_its_claim_passed_on_is_refused",
+        "test_at_most_once.py::test_attempt_arriving_after_takeover_is_refused",
     ),
     _one(
         "a dead engine's claim is run again",
@@ -143,7 +143,7 @@
         "        if error.status == GONE",
         'raise AttemptNotRun(f"{reason}; engine was replaced") from error\n'
         "        if error.status == GONE",
-        "test_at_most_once.py::test_claimed_engine_dead_is_reported_and_never_run_again",
+        "test_at_most_once.py::test_killed_engine_of_claim_is_reported_and_not_retried",
     ),
     _one(
         "machine list not heeded",
@@ -195,7 +195,7 @@
         "routing/scheduler.py",
         "if not self._options.ask_home or uncached",
         "if self._options.ask_home or uncached",
-        "test_own_answer.py::test_nodes_compute_a_cold_prefix_once_between_them",
+        "test_own_answer.py::test_cold_prefix_is_not_computed_by_every_node",
     ),
     _one(
         "request id of a forwarded answer not checked",
--- a/src/wheelslip/callers/relay.py
+++ b/src/wheelslip/callers/relay.py
@@ -79,7 +79,7 @@
             self._services.router.cancelled(self._request_id)
         else:
             self._services.router.failed(self._request_id)
-        self._services.directory.check_now(target.engine.name)
+        self._services.directory.schedule_check(target.engine.name)
 
 
 class RepeatableRelay:
--- a/src/wheelslip/engines/client.py
+++ b/src/wheelslip/engines/client.py
@@ -235,7 +235,7 @@
         with contextlib.suppress(EngineError):
             self._post(engine, "/abort", {"request_id": attempt_id})
 
-    def order(self, engine: EngineInfo, fencing_token: int, order: dict) -> None:
+    def send_order(self, engine: EngineInfo, fencing_token: int, order: dict) -> None:
         """Send an order with a fencing token.
 
         :raises EngineRefused: when the engine refuses it; with status 409, when it has
--- a/src/wheelslip/engines/directory.py
+++ b/src/wheelslip/engines/directory.py
@@ -186,7 +186,7 @@
         """Return the engines as last reported to the router, sorted by name."""
         return sorted(self._reported.values(), key=lambda info: info.name)
 
-    def check_now(self, engine: str) -> None:
+    def schedule_check(self, engine: str) -> None:
         """Schedule a status read, even if the engine is assigned to another node.
 
         It is skipped when the status was read very recently.
@@ -197,7 +197,7 @@
         """Set the names of the engines that operators have drained."""
         self._mailbox.put(_DrainsChanged(engines))
 
-    def take_record(self, record: Record) -> None:
+    def apply_record(self, record: Record) -> None:
         """Apply a replicated record; records of other kinds are ignored."""
         if record.key.startswith(ENGINE_KEY_PREFIX):
             engine_record = msgspec.json.decode(record.value, type=EngineRecord)
--- a/src/wheelslip/node.py
+++ b/src/wheelslip/node.py
@@ -178,7 +178,7 @@
         self._configuration.see_revision(address, revision)
 
     def _see_record(self, record: Record) -> None:
-        self._directory.take_record(record)
+        self._directory.apply_record(record)
 
     def _put_in_force(self, configuration: Configuration) -> None:
         self._policies.update(configuration)
--- a/src/wheelslip/weights/controller.py
+++ b/src/wheelslip/weights/controller.py
@@ -114,10 +114,10 @@
             document["weights_version"] = order.weights_version
         fields = {"engine": engine.name, "order": order.kind.value, "fencing_token": token}
         try:
-            self._client.order(engine, token, document)
+            self._client.send_order(engine, token, document)
         except EngineError as error:
             # A lost answer may hide an order taken; the next step asks the engine itself.
             log_event(LogEvent.ORDER_REFUSED, reason=str(error), **fields)
             return
         log_event(LogEvent.ORDER_GIVEN, **fields)
-        self._directory.check_now(engine.name)
+        self._directory.schedule_check(engine.name)
--- a/tests/probe/callers.py
+++ b/tests/probe/callers.py
@@ -31,7 +31,7 @@
     nonce: str = ""
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the response has exactly the expected tokens, in order, and its end."""
         return self.status == 200 and self.done and self.tokens == self.expected
 
--- a/tests/probe/judge.py
+++ b/tests/probe/judge.py
@@ -8,7 +8,7 @@
 from wheelslip.routing.prefix import render_chat
 
 
-def digest_of(nonce, prefix="Item log. "):
+def prompt_digest(nonce, prefix="Item log. "):
     body = chat_body(nonce, prefix=prefix)
     return xxhash.xxh32_hexdigest(render_chat(body["messages"]).encode())
 
@@ -18,7 +18,7 @@
     return Counter(run["base_prompt_digest"] for run in cluster.runs("accepted"))
 
 
-def assert_only_own_state(cluster):
+def assert_cache_is_isolated(cluster):
     """Assert that runs use only cached state of their own tenant and weights version.
 
     Each run must also be of the incarnation and weights version that its request required.
@@ -31,30 +31,32 @@
         assert run["demanded"] == [run["incarnation"], run["weights_version"]], run
 
 
-def assert_not_run_is_true(cluster, outcomes):
+def assert_not_run_is_accurate(cluster, outcomes):
     """Assert that no request reported as ``not_run`` was accepted by an engine.
 
     :return: the number of such requests.
     """
     counts = accepted_counts(cluster)
     reported = [outcome for outcome in outcomes if outcome.run_state == "not_run"]
-    accepted_kinds = [outcome.kind for outcome in reported if counts[digest_of(outcome.nonce)]]
+    accepted_kinds = [outcome.kind for outcome in reported if counts[prompt_digest(outcome.nonce)]]
     assert accepted_kinds == []
     return len(reported)
 
 
-def assert_own_and_whole(outcomes):
+def assert_own_and_complete(outcomes):
     """Assert that responses have no foreign tokens, and are complete or end in an error."""
     for outcome in outcomes:
         assert outcome.tokens == outcome.expected[: len(outcome.tokens)], (
             outcome.tokens,
             outcome.expected,
         )
-        assert outcome.whole or outcome.error is not None, outcome
+        assert outcome.is_complete or outcome.error is not None, outcome
 
 
 def assert_at_most_once(cluster, nonces):
     """Assert that no prompt was accepted more than once."""
     counts = accepted_counts(cluster)
-    repeated = {nonce: counts[digest_of(nonce)] for nonce in nonces if counts[digest_of(nonce)] > 1}
+    repeated = {
+        nonce: counts[prompt_digest(nonce)] for nonce in nonces if counts[prompt_digest(nonce)] > 1
+    }
     assert repeated == {}
--- a/tests/probe/test_api_page.py
+++ b/tests/probe/test_api_page.py
@@ -8,7 +8,7 @@
 PAGE = pathlib.Path(__file__).resolve().parent.parent.parent / "docs" / "API.md"
 
 
-def test_every_command_of_the_page_works(make_cluster):
+def test_commands_of_api_page_succeed(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     environment = os.environ | {
         "CALLERS": cluster.callers("node-1"),
--- a/tests/probe/test_at_most_once.py
+++ b/tests/probe/test_at_most_once.py
@@ -8,7 +8,7 @@
 from standins.cluster import wait_until
 from standins.fault_proxy import Fault
 from tests.probe.callers import Callers, chat_body, send
-from tests.probe.judge import assert_at_most_once, assert_own_and_whole, digest_of
+from tests.probe.judge import assert_at_most_once, assert_own_and_complete, prompt_digest
 
 
 def notice_body(nonce, tokens=8):
@@ -20,7 +20,7 @@
 
 
 def runs_of(cluster, nonce):
-    digest = digest_of(nonce)
+    digest = prompt_digest(nonce)
     return [run for run in cluster.runs("accepted") if run["base_prompt_digest"] == digest]
 
 
@@ -29,26 +29,26 @@
     give_up_at = time.monotonic() + seconds
     while True:
         outcome = send(cluster, node, notice_body(nonce, tokens), headers)
-        if outcome.whole or time.monotonic() > give_up_at:
+        if outcome.is_complete or time.monotonic() > give_up_at:
             return outcome
         if outcome.error is not None and not outcome.error["retry"]:
             return outcome
         time.sleep(0.2)
 
 
-def test_repeats_of_a_key_get_the_kept_answer(make_cluster):
+def test_repeated_key_returns_stored_response(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
     first = send(cluster, "node-1", notice_body("kept"), key_headers("k"))
     repeated = send(cluster, "node-2", notice_body("kept"), key_headers("k"))
     plain = send(cluster, "node-2", notice_body("kept") | {"stream": False}, key_headers("k"))
-    assert first.whole and repeated.whole and plain.whole
+    assert first.is_complete and repeated.is_complete and plain.is_complete
     assert len(runs_of(cluster, "kept")) == 1
     other = send(cluster, "node-1", notice_body("another body"), key_headers("k"))
     assert other.kind == "idempotency_key_reused"
     assert runs_of(cluster, "another body") == []
 
 
-def test_same_key_at_all_nodes_at_the_same_time(make_cluster):
+def test_concurrent_requests_with_same_key_run_once(make_cluster):
     cluster = make_cluster(engines=3, nodes=3)
     outcomes = []
     nonces = [f"race{n}" for n in range(10)]
@@ -65,13 +65,13 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert_own_and_whole(outcomes)
-    assert sum(outcome.whole for outcome in outcomes) == 30
+    assert_own_and_complete(outcomes)
+    assert sum(outcome.is_complete for outcome in outcomes) == 30
     assert_at_most_once(cluster, nonces)
 
 
 @pytest.mark.parametrize("kill_after_seconds", [0.0, 0.01, 0.03, 0.06, 0.12, 0.3])
-def test_node_killed_at_any_step_of_a_claim(make_cluster, kill_after_seconds):
+def test_node_killed_during_claim_runs_request_once(make_cluster, kill_after_seconds):
     cluster = make_cluster(engines=2, nodes=2)
     nonces = [f"step{n}" for n in range(5)]
     callers = [
@@ -90,11 +90,11 @@
         send_until_final(cluster, "node-2", nonce, key_headers(nonce), tokens=20)
         for nonce in nonces
     ]
-    assert all(outcome.whole for outcome in outcomes), outcomes
+    assert all(outcome.is_complete for outcome in outcomes), outcomes
     assert_at_most_once(cluster, nonces)
 
 
-def test_key_value_answers_lost_after_their_effect(make_cluster):
+def test_lost_replies_of_key_value_store_run_request_once(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
     proxy = cluster.key_value_proxies["node-1"]
     proxy.fault = Fault.LOSE_ANSWER
@@ -112,12 +112,12 @@
     proxy.fault = Fault.PASS
     for thread in threads:
         thread.join()
-    assert all(outcome.whole for outcome in outcomes), outcomes
+    assert all(outcome.is_complete for outcome in outcomes), outcomes
     assert callers.outcomes == []
     assert_at_most_once(cluster, nonces)
 
 
-def test_attempt_that_arrives_after_its_claim_passed_on_is_refused(make_cluster):
+def test_attempt_arriving_after_takeover_is_refused(make_cluster):
     """The owner's request is delayed until after another node has taken the claim over."""
     cluster = make_cluster(engines=2, nodes=2)
     owner_host = cluster.host("node-1")
@@ -132,16 +132,16 @@
     owner.start()
     time.sleep(1.0)
     other = send_until_final(cluster, "node-2", "held", key_headers("held"))
-    assert other.whole, other
+    assert other.is_complete, other
     for proxy in cluster.engine_proxies.values():
         proxy.held_sources = set()
     owner.join(60)
     time.sleep(1.0)
     assert len(runs_of(cluster, "held")) == 1
-    assert_own_and_whole(results)
+    assert_own_and_complete(results)
 
 
-def test_owner_paused_while_another_node_takes_over(make_cluster):
+def test_claim_owner_paused_during_takeover_runs_request_once(make_cluster):
     """The paused owner resumes with an outdated view of its claim."""
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.engine_proxies.values():
@@ -160,12 +160,12 @@
         proxy.held_sources = set()
     cluster.processes["node-1"].resume()
     owner.join(60)
-    assert other.whole, other
+    assert other.is_complete, other
     assert len(runs_of(cluster, "paused")) == 1
-    assert_own_and_whole(results)
+    assert_own_and_complete(results)
 
 
-def test_claimed_engine_dead_is_reported_and_never_run_again(make_cluster):
+def test_killed_engine_of_claim_is_reported_and_not_retried(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     killed = []
 
@@ -187,7 +187,7 @@
     assert len(runs_of(cluster, "dead")) == 1
 
 
-def test_frozen_engine_is_joined_again_when_it_answers(make_cluster):
+def test_paused_engine_is_rejoined_after_resume(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
     paused = []
 
@@ -206,11 +206,11 @@
         cluster, "node-1", notice_body("ice", 40), key_headers("ice", "30"), on_token=pause
     )
     assert paused
-    assert outcome.whole, outcome
+    assert outcome.is_complete, outcome
     assert len(runs_of(cluster, "ice")) == 1
 
 
-def test_caller_gone_leaves_the_attempt_to_finish_for_a_repeat(make_cluster):
+def test_claimed_attempt_completes_after_caller_disconnect(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
     body = notice_body("gone", 60)
     url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
@@ -219,11 +219,11 @@
     response.read1(10)
     response.close()
     repeated = send_until_final(cluster, "node-1", "gone", key_headers("gone"), 60)
-    assert repeated.whole
+    assert repeated.is_complete
     assert len(runs_of(cluster, "gone")) == 1
 
 
-def test_key_value_outage_refuses_at_once_runs_nothing_and_heals(make_cluster):
+def test_key_value_outage_refuses_claims_until_recovery(make_cluster):
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.key_value_proxies.values():
         proxy.fault = Fault.REFUSE
@@ -231,15 +231,15 @@
     lookup = send(cluster, "node-2", chat_body("lookup goes on"))
     assert refused.kind == "claim_store_unavailable" and refused.run_state == "not_run"
     assert "Retry-After" in refused.headers and refused.seconds < 5
-    assert lookup.whole
+    assert lookup.is_complete
     assert runs_of(cluster, "out") == []
     for proxy in cluster.key_value_proxies.values():
         proxy.fault = Fault.PASS
-    assert send_until_final(cluster, "node-2", "out", key_headers("out")).whole
+    assert send_until_final(cluster, "node-2", "out", key_headers("out")).is_complete
     assert len(runs_of(cluster, "out")) == 1
 
 
-def test_zone_cut_in_two_claims_once(make_cluster):
+def test_partitioned_zone_runs_claimed_request_once(make_cluster):
     """Engine responses reach neither node until the partition ends."""
     cluster = make_cluster(engines=2, nodes=2)
     for proxy in cluster.engine_proxies.values():
@@ -251,5 +251,5 @@
     for proxy in cluster.engine_proxies.values():
         proxy.fault = Fault.PASS
     healed = send_until_final(cluster, "node-1", "cut", key_headers("cut"))
-    assert healed.whole, healed
+    assert healed.is_complete, healed
     assert len(runs_of(cluster, "cut")) == 1
--- a/tests/probe/test_leaving.py
+++ b/tests/probe/test_leaving.py
@@ -71,7 +71,7 @@
         thread.join(30)
     assert before > 0 and time.monotonic() - left_at > LIMIT_SECONDS
     assert at_engine(cluster, incarnation) == settled
-    assert [outcome for outcome in outcomes if not outcome.whole] == []
+    assert [outcome for outcome in outcomes if not outcome.is_complete] == []
     for node in cluster.nodes:
         states = {one["name"]: one["state"] for one in cluster.status(node)["engines"]}
         assert states["engine-1"] == "leaving"
--- a/tests/probe/test_not_run.py
+++ b/tests/probe/test_not_run.py
@@ -7,7 +7,7 @@
 
 from standins.fault_proxy import Fault
 from tests.probe.callers import Callers
-from tests.probe.judge import assert_not_run_is_true, assert_own_and_whole
+from tests.probe.judge import assert_not_run_is_accurate, assert_own_and_complete
 
 FAULTS = [
     Fault.REFUSE,
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_not_run_is_true_under_one_fault_at_every_engine(make_cluster, fault):
+def test_not_run_is_accurate_under_one_fault_at_every_engine(make_cluster, fault):
     cluster = make_cluster(engines=2, nodes=1, limits={"engine_stall_seconds": 0.5})
     callers = Callers(cluster)
     for proxy in cluster.engine_proxies.values():
@@ -31,13 +31,13 @@
         callers.start("node-1", headers, model="notice" if n % 2 else "lookup")
         time.sleep(0.05)
     outcomes = callers.join()
-    assert_own_and_whole(outcomes)
-    not_run_count = assert_not_run_is_true(cluster, outcomes)
+    assert_own_and_complete(outcomes)
+    not_run_count = assert_not_run_is_accurate(cluster, outcomes)
     refused = [outcome for outcome in outcomes if outcome.error]
     assert refused and not_run_count <= len(refused)
 
 
-def test_not_run_is_true_under_changing_faults(make_cluster):
+def test_not_run_is_accurate_under_changing_faults(make_cluster):
     cluster = make_cluster(engines=2, nodes=2, limits={"engine_stall_seconds": 0.5})
     random_source = random.Random(5)
     callers = Callers(cluster)
@@ -53,5 +53,5 @@
         proxy.fault = Fault.PASS
     outcomes = callers.join()
     assert len(outcomes) == 120
-    assert_own_and_whole(outcomes)
-    assert_not_run_is_true(cluster, outcomes)
+    assert_own_and_complete(outcomes)
+    assert_not_run_is_accurate(cluster, outcomes)
--- a/tests/probe/test_path.py
+++ b/tests/probe/test_path.py
@@ -32,7 +32,7 @@
     )
 
 
-def test_openai_client_works_unchanged(cluster):
+def test_openai_client_is_compatible(cluster):
     client = openai_client(cluster)
     answer = client.chat.completions.create(
         model="lookup", max_tokens=5, messages=[{"role": "user", "content": "ring?"}]
@@ -63,12 +63,12 @@
     prefix = "A stadium's weekend log. " * 400
     first = send(cluster, "node-1", chat_body("a", prefix=prefix, stream=False))
     second = send(cluster, "node-2", chat_body("b", prefix=prefix, stream=False))
-    assert first.whole and second.whole
+    assert first.is_complete and second.is_complete
     assert first.usage["prompt_tokens_details"]["cached_tokens"] == 0
     assert second.usage["prompt_tokens_details"]["cached_tokens"] >= 2000
 
 
-def test_health_readiness_and_metrics(cluster):
+def test_health_readiness_and_metrics_endpoints_respond(cluster):
     base = f"http://{cluster.callers('node-1')}"
     assert cluster.http.request("GET", f"{base}/healthz").status == 200
     assert cluster.http.request("GET", f"{base}/readyz").json()["revision"] > 0
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("name", list(INVALID_BODIES))
-def test_bad_bodies_get_a_clear_4xx(cluster, name):
+def test_invalid_body_returns_4xx_naming_the_field(cluster, name):
     body, kind, field = INVALID_BODIES[name]
     url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
     response = cluster.http.request(
@@ -122,7 +122,7 @@
     assert error["run_state"] == "not_run"
 
 
-def test_bad_headers_and_paths(cluster):
+def test_invalid_header_or_path_returns_4xx(cluster):
     base = f"http://{cluster.callers('node-1')}"
     good = chat_body("x")
     assert send(cluster, "node-1", good, key="unknown").kind == "authentication_failed"
@@ -134,12 +134,12 @@
     assert wrong_method.status == 405
 
 
-def test_oversized_body_and_header_are_refused(cluster):
+def test_oversized_body_and_header_are_rejected(cluster):
     body = chat_body("x", prefix="y" * 200_000)
     assert send(cluster, "node-1", body).kind == "body_too_large"
     huge = send(cluster, "node-1", chat_body("x"), {"X-Junk": "z" * 20_000})
     assert huge.kind == "headers_too_large" and huge.run_state == "not_run"
-    assert send(cluster, "node-1", chat_body("after")).whole
+    assert send(cluster, "node-1", chat_body("after")).is_complete
 
 
 def raw_request(cluster, body, content_length=None):
@@ -153,11 +153,11 @@
     return connection
 
 
-def test_half_sent_body_gets_an_answer_or_a_closed_connection(cluster):
+def test_incomplete_body_returns_408_or_closes_connection(cluster):
     with raw_request(cluster, b'{"model": ', content_length=1000) as connection:
         received = connection.recv(65536)
     assert received == b"" or b" 408 " in received.split(b"\r\n")[0]
-    assert send(cluster, "node-1", chat_body("after")).whole
+    assert send(cluster, "node-1", chat_body("after")).is_complete
 
 
 def aborted_runs(cluster, digest):
@@ -165,17 +165,17 @@
     return [run for run in runs if run["base_prompt_digest"] == digest]
 
 
-def test_caller_that_goes_away_stops_the_engine_work(cluster):
+def test_caller_disconnect_aborts_run(cluster):
     body = chat_body("gone", tokens=2000)
     digest = body_digest(body)
     connection = raw_request(cluster, json.dumps(body).encode())
     connection.recv(1024)
     connection.close()
     wait_until(lambda: aborted_runs(cluster, digest), "the engine aborts the run")
-    assert send(cluster, "node-1", chat_body("after")).whole
+    assert send(cluster, "node-1", chat_body("after")).is_complete
 
 
-def test_caller_that_stops_reading_is_cut_and_the_work_stopped(cluster):
+def test_caller_that_stops_reading_is_disconnected_and_its_run_aborted(cluster):
     body = chat_body("stuck", tokens=4000, prefix="stuck")
     digest = body_digest(body)
     host, _, port = cluster.callers("node-1").partition(":")
@@ -190,7 +190,7 @@
     connection.sendall(head.encode() + payload)
     wait_until(lambda: aborted_runs(cluster, digest), "the engine aborts the run", 90)
     connection.close()
-    assert send(cluster, "node-1", chat_body("after")).whole
+    assert send(cluster, "node-1", chat_body("after")).is_complete
 
 
 def body_digest(body):
--- a/tests/probe/test_placement.py
+++ b/tests/probe/test_placement.py
@@ -7,7 +7,7 @@
 
 from standins.cluster import wait_until
 from tests.probe.callers import chat_body, send
-from tests.probe.judge import assert_only_own_state, assert_own_and_whole
+from tests.probe.judge import assert_cache_is_isolated, assert_own_and_complete
 
 
 def model_file(tmp_path, version):
@@ -53,9 +53,9 @@
     stop.set()
     for thread in threads:
         thread.join(60)
-    assert_own_and_whole(outcomes)
-    assert all(outcome.whole for outcome in outcomes)
-    assert_only_own_state(cluster)
+    assert_own_and_complete(outcomes)
+    assert all(outcome.is_complete for outcome in outcomes)
+    assert_cache_is_isolated(cluster)
     assert loads(cluster)["most_at_once"] <= 2
     assert len(loads(cluster)["loads"]) == 4
 
--- a/tests/probe/test_planned_stop.py
+++ b/tests/probe/test_planned_stop.py
@@ -5,7 +5,7 @@
 import time
 
 from tests.probe.callers import Callers, chat_body, send
-from tests.probe.judge import assert_at_most_once, assert_own_and_whole
+from tests.probe.judge import assert_at_most_once, assert_own_and_complete
 
 
 def test_streams_waiting_requests_and_claims_finish(make_cluster):
@@ -18,7 +18,7 @@
     status = cluster.processes["node-1"].terminate()
     outcomes = callers.join()
     assert status == 0
-    assert sum(outcome.whole for outcome in outcomes) == 12, outcomes
+    assert sum(outcome.is_complete for outcome in outcomes) == 12, outcomes
 
 
 def test_stopping_node_fails_readiness_before_it_refuses(make_cluster):
@@ -31,12 +31,12 @@
     ready = cluster.http.request("GET", f"http://{cluster.callers('node-1')}/readyz")
     assert ready.status == 503
     during_lame_duck = send(cluster, "node-1", chat_body("late", tokens=2))
-    assert during_lame_duck.whole
+    assert during_lame_duck.is_complete
     time.sleep(1.2)
     refused = send(cluster, "node-1", chat_body("too late"))
     assert refused.kind == "node_stopping" and refused.run_state == "not_run"
     outcomes = callers.join()
-    assert outcomes[0].whole
+    assert outcomes[0].is_complete
     assert cluster.processes["node-1"].process.wait(30) == 0
 
 
@@ -82,7 +82,7 @@
         thread.join(60)
     results = [outcome for _, outcome in outcomes]
     assert len(results) > 50
-    assert_own_and_whole(results)
-    bad = [(node, one.kind, one.failure) for node, one in outcomes if not one.whole]
+    assert_own_and_complete(results)
+    bad = [(node, one.kind, one.failure) for node, one in outcomes if not one.is_complete]
     assert bad == []
     assert_at_most_once(cluster, nonces)
--- a/tests/probe/test_randomised.py
+++ b/tests/probe/test_randomised.py
@@ -13,4 +13,4 @@
     print(report(seed, history, violations))
     assert violations == []
     assert len(history.calls) > 20
-    assert any(call.outcomes[-1][1].whole for call in history.calls if not call.repeatable)
+    assert any(call.outcomes[-1][1].is_complete for call in history.calls if not call.repeatable)
--- a/tests/probe/test_restart.py
+++ b/tests/probe/test_restart.py
@@ -34,7 +34,7 @@
     def served():
         nonlocal number
         number += 1
-        return send(cluster, node, chat_body(f"first{number}", tokens=1)).whole
+        return send(cluster, node, chat_body(f"first{number}", tokens=1)).is_complete
 
     wait_until(served, f"{node} serves")
     return time.monotonic() - process.started_at
--- a/tests/probe/test_retries.py
+++ b/tests/probe/test_retries.py
@@ -9,7 +9,7 @@
 REQUESTS = 120
 
 
-def test_outage_of_half_the_engines_adds_no_more_attempts_than_the_budget(make_cluster):
+def test_outage_of_half_the_engines_stays_within_retry_budget(make_cluster):
     cluster = make_cluster(engines=4, nodes=1)
     proxies = cluster.engine_proxies
     faulty_proxies = [proxies["engine-1"], proxies["engine-2"]]
@@ -28,11 +28,11 @@
     ]
     assert len(attempts) == REQUESTS
     assert sum(attempts) <= REQUESTS * (1 + RETRY_RATIO) + RETRY_RESERVE
-    assert sum(outcome.whole for outcome in outcomes) > REQUESTS // 2
-    assert all(outcome.whole or outcome.error is not None for outcome in outcomes)
+    assert sum(outcome.is_complete for outcome in outcomes) > REQUESTS // 2
+    assert all(outcome.is_complete or outcome.error is not None for outcome in outcomes)
 
 
-def test_request_given_up_on_is_answered_at_once(make_cluster):
+def test_request_without_usable_engine_fails_before_its_deadline(make_cluster):
     """Every engine refuses connections; the error is returned well before the deadline."""
     cluster = make_cluster(engines=2, nodes=1)
     for proxy in cluster.engine_proxies.values():
--- a/tests/probe/test_streams.py
+++ b/tests/probe/test_streams.py
@@ -9,7 +9,7 @@
 from standins.cluster import Cluster, EngineSpec, NodeSpec
 from standins.fault_proxy import Fault
 from tests.probe.callers import Callers, chat_body, send
-from tests.probe.judge import assert_own_and_whole
+from tests.probe.judge import assert_own_and_complete
 
 
 @pytest.fixture(scope="module")
@@ -30,7 +30,7 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(cut=st.integers(min_value=0, max_value=4500), stream=st.booleans())
-def test_connection_cut_at_any_byte(small_cluster, cut, stream):
+def test_response_is_complete_after_connection_cut_at_any_byte(small_cluster, cut, stream):
     """The stream has about 2,500 bytes, so that some cuts are beyond its end."""
     small_cluster.wait_engines(1)
     proxy = small_cluster.engine_proxies["engine-1"]
@@ -48,10 +48,10 @@
     time.sleep(0.02)
     proxy.fault = Fault.PASS
     (outcome,) = callers.join()
-    assert outcome.whole, outcome
+    assert outcome.is_complete, outcome
 
 
-def test_engine_killed_mid_stream_continues_elsewhere(make_cluster):
+def test_stream_continues_at_another_engine_after_kill(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     killed = []
 
@@ -65,11 +65,11 @@
     body = chat_body("killed", tokens=40)
     outcome = send(cluster, "node-1", body, on_token=kill_serving_engine)
     assert killed
-    assert outcome.whole, outcome
+    assert outcome.is_complete, outcome
     assert outcome.usage is None or outcome.usage["completion_tokens"] == 40
 
 
-def test_engine_frozen_mid_stream_continues_elsewhere(make_cluster):
+def test_stream_continues_at_another_engine_after_stall(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     paused = []
 
@@ -81,10 +81,10 @@
 
     outcome = send(cluster, "node-1", chat_body("frozen", tokens=40), on_token=pause)
     assert paused
-    assert outcome.whole, outcome
+    assert outcome.is_complete, outcome
 
 
-def test_last_engine_killed_mid_stream_ends_in_an_explicit_error(make_cluster):
+def test_stream_ends_in_error_event_after_only_engine_is_killed(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
 
     def kill(outcome):
@@ -94,18 +94,18 @@
     outcome = send(cluster, "node-1", chat_body("alone", tokens=40), on_token=kill)
     assert outcome.status == 200 and not outcome.done
     assert outcome.run_state == "may_have_run"
-    assert_own_and_whole([outcome])
+    assert_own_and_complete([outcome])
 
 
-def test_slow_caller_gets_every_token(make_cluster):
+def test_slow_caller_receives_every_token(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
     outcome = send(
         cluster, "node-1", chat_body("slow", tokens=60), on_token=lambda _: time.sleep(0.05)
     )
-    assert outcome.whole
+    assert outcome.is_complete
 
 
-def test_plain_answer_survives_the_loss_of_its_engine(make_cluster):
+def test_plain_response_is_complete_after_engine_is_killed(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     callers = Callers(cluster)
     callers.start("node-1", stream=False, tokens=60)
@@ -115,7 +115,7 @@
     name = engine_of(cluster, cluster.runs("started")[-1]["incarnation"])
     cluster.processes[name].kill()
     (outcome,) = callers.join()
-    assert outcome.whole, outcome
+    assert outcome.is_complete, outcome
 
 
 def engine_of(cluster, incarnation):
