--- a/tests/probe/callers.py
+++ b/tests/probe/callers.py
@@ -90,10 +90,10 @@
     if response.status != 200:
         outcome.error = json.loads(response.read())["error"]
     elif not body["stream"]:
-        answer = json.loads(response.read())
-        outcome.tokens = answer["choices"][0]["message"]["content"].split()
-        outcome.finish_reason = answer["choices"][0]["finish_reason"]
-        outcome.usage = answer["usage"]
+        document = json.loads(response.read())
+        outcome.tokens = document["choices"][0]["message"]["content"].split()
+        outcome.finish_reason = document["choices"][0]["finish_reason"]
+        outcome.usage = document["usage"]
         outcome.done = outcome.finish_reason == "stop"
     else:
         _read_stream(response, outcome, on_token)
--- a/tests/probe/test_own_answer.py
+++ b/tests/probe/test_own_answer.py
@@ -54,7 +54,7 @@
 
 
 def test_cold_prefix_is_not_computed_by_every_node(make_cluster):
-    """The home node of a prefix grants its prefill to one of three nodes at a time.
+    """The home node of a prefix grants its prefill to one node at a time.
 
     Uncoordinated nodes would compute the four prefixes twelve times.
     """
