--- a/src/wheelslip/node.py
+++ b/src/wheelslip/node.py
@@ -188,7 +188,7 @@
         self._configuration.record_peer_revision(address, revision)
 
     def _on_record(self, record: Record) -> None:
-        self._directory.take_record(record)
+        self._directory.apply_record(record)
 
     def _apply_configuration(self, configuration: Configuration) -> None:
         self._policies.update(configuration)
--- a/tests/probe/test_leaving.py
+++ b/tests/probe/test_leaving.py
@@ -71,7 +71,7 @@
         thread.join(30)
     assert before > 0 and time.monotonic() - leave_started_at > DRAIN_LIMIT_SECONDS
     assert count_accepted_runs(cluster, incarnation) == after_drain
-    assert [outcome for outcome in outcomes if not outcome.whole] == []
+    assert [outcome for outcome in outcomes if not outcome.is_complete] == []
     for node in cluster.nodes:
         states = {engine["name"]: engine["state"] for engine in cluster.status(node)["engines"]}
         assert states["engine-1"] == "leaving"
