--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems around wheelslip, for tests, the demo and the bench."""
+"""Simulated engines and platform services for tests, the demo and the benchmarks."""
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,7 @@
-"""Starts stand-ins and nodes as real processes on loopback, behind fault proxies.
+"""Clusters of wheelslip nodes and stand-in services, run as processes on loopback.
 
-Used by the demo, the probe tests and the bench. Every cluster takes loopback addresses of
-its own, so clusters never meet; every process it started is ended by id.
+Used by the demo, the probe tests and the benchmarks. Each cluster uses a random loopback
+network of its own, so that several clusters can run on one machine.
 """
 
 import contextlib
@@ -20,8 +20,8 @@
 
 from standins.fault_proxy import FaultProxy
 
-START_SECONDS = 30.0
-"""Generous bound for a process to come up on a busy machine."""
+START_TIMEOUT_SECONDS = 30.0
+"""Default timeout of :func:`wait_until`; allows for process start on a busy machine."""
 
 _REPOSITORY = pathlib.Path(__file__).resolve().parent.parent
 _ENGINE_PORT = 7000
@@ -36,7 +36,11 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """One stand-in engine; ``options`` are flags of its command line."""
+    """Description of one stand-in engine.
+
+    :ivar zone: zone under which the machine list names the engine.
+    :ivar options: additional command-line flags of :mod:`standins.engine_server`.
+    """
 
     name: str
     zone: str
@@ -46,7 +50,10 @@
 
 @dataclass(frozen=True)
 class NodeSpec:
-    """One node; ``limits`` go to the settings file's section of that name."""
+    """Description of one node.
+
+    :ivar limits: contents of the ``[limits]`` section of its settings file.
+    """
 
     name: str
     zone: str
@@ -54,7 +61,12 @@
 
 
 class ManagedProcess:
-    """A process this cluster started; ended by its own id."""
+    """Child process that can be signalled, killed and started again.
+
+    :ivar log_path: file to which standard output and standard error are appended.
+    :ivar process: the latest child process, or ``None`` before the first start.
+    :ivar started_at: monotonic time of the latest start, in seconds.
+    """
 
     def __init__(self, name: str, command: list[str], log_path: pathlib.Path):
         self.name = name
@@ -64,7 +76,7 @@
         self.started_at = 0.0
 
     def start(self) -> None:
-        """Start it, appending its output to the log."""
+        """Start the process and append its output to the log file."""
         environment = os.environ | {
             "PYTHONPATH": os.pathsep.join(sys.path),
             "PYTHONUNBUFFERED": "1",
@@ -76,57 +88,72 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once, as a crash does."""
+        """Kill the process with ``SIGKILL``, if it runs, and wait for its end."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
         if self.process is not None:
             self.process.wait()
 
     def terminate(self, timeout: float = 60.0) -> int:
-        """Ask it to stop and return its exit status."""
+        """Stop the process with ``SIGTERM`` and return its exit status.
+
+        :param timeout: seconds to wait for the exit.
+        :raises subprocess.TimeoutExpired: when the process is still running after that.
+        """
         self.process.terminate()
         return self.process.wait(timeout)
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Suspend the process with ``SIGSTOP``."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with ``SIGCONT``."""
         self.signal(signal.SIGCONT)
 
     def events(self) -> list[dict]:
-        """Return the JSON log lines it has written."""
-        found = []
+        """Return the JSON entries of the log file; lines of another format are skipped."""
+        entries = []
         for line in self.log_path.read_text(errors="replace").splitlines():
             with contextlib.suppress(ValueError):
-                found.append(json.loads(line))
-        return found
+                entries.append(json.loads(line))
+        return entries
 
 
 class Cluster:
-    """Stand-ins and nodes, with a proxy before each engine, node and key-value link."""
+    """Stand-in services, engines and nodes on one loopback network.
+
+    Unless ``proxied`` is false, a :class:`FaultProxy` forwards the traffic to each engine,
+    the traffic to each node from its peers, and that of each node to the key-value service.
+
+    :ivar engine_proxies: proxy of each engine, by engine name.
+    :ivar key_value_proxies: proxy between each node and the key-value service, by node name.
+    :ivar peer_proxies: proxy of each node's peer address, by node name.
+    :ivar run_log: JSON lines file to which all engines append their runs and orders.
+    """
 
     def __init__(
         self,
         directory: pathlib.Path,
         engines: list[EngineSpec],
         nodes: list[NodeSpec],
-        key_value_rate: float = 500.0,
+        key_value_requests_per_second: float = 500.0,
         proxied: bool = True,
     ):
         self.directory = pathlib.Path(directory)
         self.directory.mkdir(parents=True, exist_ok=True)
         self.engines = {spec.name: spec for spec in engines}
         self.nodes = {spec.name: spec for spec in nodes}
-        self._net = f"127.{random.randint(10, 250)}.{random.randint(1, 250)}"
-        self._key_value_rate = key_value_rate
+        self._network_prefix = f"127.{random.randint(10, 250)}.{random.randint(1, 250)}"
+        self._key_value_requests_per_second = key_value_requests_per_second
         self._proxied = proxied
-        self._hosts = {name: number for number, name in enumerate([*self.engines, *self.nodes], 10)}
+        self._host_numbers = {
+            name: number for number, name in enumerate([*self.engines, *self.nodes], 10)
+        }
         self.processes: dict[str, ManagedProcess] = {}
         self.engine_proxies: dict[str, FaultProxy] = {}
         self.key_value_proxies: dict[str, FaultProxy] = {}
@@ -135,35 +162,41 @@
         self.http = urllib3.PoolManager(maxsize=64, retries=False, timeout=30)
 
     def host(self, name: str, proxied: bool = False) -> str:
-        """Return the loopback address of a process, or of the proxy before it if any."""
+        """Return the IP address of an engine or node.
+
+        :param proxied: return the address of its proxy instead, if the cluster uses proxies.
+        """
         offset = 100 if proxied and self._proxied else 0
-        return f"{self._net}.{self._hosts[name] + offset}"
+        return f"{self._network_prefix}.{self._host_numbers[name] + offset}"
 
-    def callers(self, node: str) -> str:
-        """Return a node's caller address."""
+    def caller_address(self, node: str) -> str:
+        """Return the ``IP:PORT`` at which a node serves callers."""
         return f"{self.host(node)}:{_CALLERS_PORT}"
 
-    def operators(self, node: str) -> str:
-        """Return a node's operator address."""
+    def operator_address(self, node: str) -> str:
+        """Return the ``IP:PORT`` at which a node serves operators."""
         return f"{self.host(node)}:{_OPERATORS_PORT}"
 
     @property
     def key_value_address(self) -> str:
-        """The key-value stand-in itself, without a proxy."""
-        return f"{self._net}.1:{_KEY_VALUE_PORT}"
+        """``IP:PORT`` of the key-value service itself, not of a proxy."""
+        return f"{self._network_prefix}.1:{_KEY_VALUE_PORT}"
 
     @property
     def machine_list_address(self) -> str:
-        """The machine list."""
-        return f"{self._net}.1:{_MACHINE_LIST_PORT}"
+        """``IP:PORT`` of the machine list server."""
+        return f"{self._network_prefix}.1:{_MACHINE_LIST_PORT}"
 
     @property
     def weight_store_address(self) -> str:
-        """The weight store."""
-        return f"{self._net}.1:{_WEIGHT_STORE_PORT}"
+        """``IP:PORT`` of the weight store server."""
+        return f"{self._network_prefix}.1:{_WEIGHT_STORE_PORT}"
 
     def start(self) -> "Cluster":
-        """Start everything and wait until each process answers."""
+        """Start proxies and processes and wait until the HTTP servers respond.
+
+        :raises AssertionError: when one of them does not respond in time.
+        """
         self._start_proxies()
         self._start_platform()
         for name in self.engines:
@@ -174,11 +207,11 @@
         for name in self.engines:
             self.wait_http(f"http://{self.host(name)}:{_ENGINE_PORT}/status")
         for name in self.nodes:
-            self.wait_http(f"http://{self.callers(name)}/healthz")
+            self.wait_http(f"http://{self.caller_address(name)}/healthz")
         return self
 
     def stop(self) -> None:
-        """End every process and proxy."""
+        """Kill every process and stop every proxy."""
         for process in self.processes.values():
             with contextlib.suppress(OSError, AttributeError):
                 process.resume()
@@ -188,7 +221,7 @@
                 proxy.stop()
 
     def __enter__(self) -> "Cluster":
-        """Start."""
+        """Start the cluster; stop what was started if that fails."""
         try:
             return self.start()
         except BaseException:
@@ -196,28 +229,38 @@
             raise
 
     def __exit__(self, *_: object) -> None:
-        """Stop."""
+        """Stop the cluster."""
         self.stop()
 
     def start_engine(self, name: str, **options: object) -> None:
-        """Start an engine process, on the same address as before if it ran."""
+        """Start an engine process on the engine's address.
+
+        :param options: command-line flags, which override those of its :class:`EngineSpec`.
+        """
         spec = self.engines[name]
         flags = {"address": f"{self.host(name)}:{_ENGINE_PORT}", "model": spec.model}
         flags |= {"run_log": str(self.run_log), "weight_store": self.weight_store_address}
         flags |= spec.options | options
-        command = _python("standins.engine_server", flags)
+        command = _module_command("standins.engine_server", flags)
         self._start(name, command)
 
     def start_node(self, name: str) -> None:
-        """Start a node's process again."""
+        """Start a node again after its process has ended."""
         self.processes[name].start()
 
     def apply(self, node: str, path: str, *flags: str, expect: int = 0) -> str:
-        """Run ``wheelslip apply`` against a node and return what it printed."""
-        return self.command("apply", path, "--node", self.operators(node), *flags, expect=expect)
+        """Run ``wheelslip apply`` against a node and return its output."""
+        return self.command(
+            "apply", path, "--node", self.operator_address(node), *flags, expect=expect
+        )
 
     def command(self, *arguments: str, expect: int | None = 0) -> str:
-        """Run the command line and return its output; checks the exit status."""
+        """Run the ``wheelslip`` command line.
+
+        :param expect: expected exit status; ``None`` accepts any.
+        :return: standard output followed by standard error.
+        :raises AssertionError: when the exit status is another one.
+        """
         result = subprocess.run(
             [sys.executable, "-m", "wheelslip.cli", *arguments],
             capture_output=True,
@@ -232,56 +275,60 @@
         return output
 
     def control_machines(self, change: dict) -> None:
-        """Change the machine list."""
+        """Send a change to the control path of the machine list server."""
         self.http.request("POST", f"http://{self.machine_list_address}/control", json=change)
 
     def control_key_value(self, change: dict) -> dict:
-        """Change the key-value stand-in; returns its counters."""
+        """Send a change to the control path of the key-value service and return its counters."""
         response = self.http.request(
             "POST", f"http://{self.key_value_address}/control", json=change
         )
         return response.json()
 
     def order_engine(self, name: str, order: dict) -> int:
-        """Give an engine an order directly; returns the status."""
+        """Send an order to an engine, bypassing proxies and nodes; return the HTTP status."""
         url = f"http://{self.host(name)}:{_ENGINE_PORT}/orders"
         return self.http.request("POST", url, json=order).status
 
     def status(self, node: str) -> dict:
-        """Return a node's operator status."""
-        return self.http.request("GET", f"http://{self.operators(node)}/v1/status").json()
+        """Return the status that a node reports to operators."""
+        return self.http.request("GET", f"http://{self.operator_address(node)}/v1/status").json()
 
     def runs(self, step: str | None = None) -> list[dict]:
-        """Return the engines' run log, or only its entries of one step."""
+        """Return the entries of the engines' run log.
+
+        :param step: return only entries of this step, such as ``"started"``.
+        """
         if not self.run_log.exists():
             return []
         entries = [json.loads(line) for line in self.run_log.read_text().splitlines()]
         return [entry for entry in entries if step in (None, entry["step"])]
 
     def wait_engines(self, count: int, nodes: list[str] | None = None) -> None:
-        """Wait until each node sees ``count`` serving engines."""
+        """Wait until each node, or each of ``nodes``, reports ``count`` serving engines."""
         for node in nodes or list(self.nodes):
             wait_until(
                 lambda node=node: self.serving_engines(node) == count,
-                f"{node} sees {count} serving engines",
+                f"{node} reports {count} serving engines",
             )
 
     def serving_engines(self, node: str) -> int:
-        """Return how many engines a node sees serving."""
-        return sum(one["state"] == "serving" for one in self.status(node)["engines"])
+        """Return the number of engines that a node reports as serving."""
+        return sum(engine["state"] == "serving" for engine in self.status(node)["engines"])
 
     def wait_members(self, count: int) -> None:
-        """Wait until each node sees ``count`` live members."""
+        """Wait until each node reports ``count`` live members."""
         for node in self.nodes:
             wait_until(
                 lambda node=node: (
-                    sum(one["state"] == "alive" for one in self.status(node)["members"]) == count
+                    sum(member["state"] == "alive" for member in self.status(node)["members"])
+                    == count
                 ),
-                f"{node} sees {count} members",
+                f"{node} reports {count} live members",
             )
 
     def wait_revision_of(self, node: str) -> None:
-        """Wait until every node holds the configuration that ``node`` has in force."""
+        """Wait until each node uses the configuration in force on ``node`` or a newer one."""
         revision = self.status(node)["revision"]
         for other in self.nodes:
             wait_until(
@@ -290,22 +337,22 @@
             )
 
     def wait_configuration(self, node: str) -> None:
-        """Wait until a node has read the key-value service; before that it refuses changes."""
-        self.wait_http(f"http://{self.operators(node)}/v1/objects")
+        """Wait until a node has read its configuration; before that it rejects changes."""
+        self.wait_http(f"http://{self.operator_address(node)}/v1/objects")
 
     def wait_http(self, url: str) -> None:
-        """Wait until a URL answers 200."""
+        """Wait until a GET request for a URL returns status 200."""
 
-        def answers() -> bool:
+        def responds() -> bool:
             try:
                 return self.http.request("GET", url, timeout=2).status == 200
             except urllib3.exceptions.HTTPError:
                 return False
 
-        wait_until(answers, url)
+        wait_until(responds, url)
 
     def machines(self) -> list[dict]:
-        """Return the machine list as it should be."""
+        """Return the machine list entries of all engines, with their proxies' addresses if any."""
         return [
             {
                 "name": name,
@@ -330,18 +377,21 @@
                 (proxy_host, _PEERS_PORT), (self.host(name), _PEERS_PORT), udp=True
             )
             self.key_value_proxies[name] = FaultProxy(
-                (proxy_host, _KEY_VALUE_PORT), (f"{self._net}.1", _KEY_VALUE_PORT)
+                (proxy_host, _KEY_VALUE_PORT), (f"{self._network_prefix}.1", _KEY_VALUE_PORT)
             )
 
     def _start_platform(self) -> None:
-        rate = {"address": self.key_value_address, "requests_per_second": self._key_value_rate}
-        self._start("key-value", _python("standins.key_value_server", rate))
-        listed = self.directory / "machines.json"
-        listed.write_text(json.dumps(self.machines()))
-        flags = {"address": self.machine_list_address, "machines": str(listed)}
-        self._start("machine-list", _python("standins.machine_list_server", flags))
-        store = {"address": self.weight_store_address}
-        self._start("weight-store", _python("standins.weight_store_server", store))
+        key_value = {
+            "address": self.key_value_address,
+            "requests_per_second": self._key_value_requests_per_second,
+        }
+        self._start("key-value", _module_command("standins.key_value_server", key_value))
+        machines_path = self.directory / "machines.json"
+        machines_path.write_text(json.dumps(self.machines()))
+        machine_list = {"address": self.machine_list_address, "machines": str(machines_path)}
+        self._start("machine-list", _module_command("standins.machine_list_server", machine_list))
+        weight_store = {"address": self.weight_store_address}
+        self._start("weight-store", _module_command("standins.weight_store_server", weight_store))
         self.wait_http(f"http://{self.machine_list_address}/machines")
         self.wait_http(f"http://{self.weight_store_address}/counts")
 
@@ -351,8 +401,8 @@
         node = {
             "name": name,
             "zone": spec.zone,
-            "callers": self.callers(name),
-            "operators": self.operators(name),
+            "callers": self.caller_address(name),
+            "operators": self.operator_address(name),
             "peers": f"{self.host(name)}:{_PEERS_PORT}",
             "advertised": f"{self.host(name, proxied=True)}:{_PEERS_PORT}",
             "seeds": seeds,
@@ -361,10 +411,10 @@
             "key_value": self._key_value_address_of(name),
             "machine_list": self.machine_list_address,
         }
-        settings = self.directory / f"{name}.toml"
+        settings_path = self.directory / f"{name}.toml"
         sections = {"node": node, "platform": platform, "limits": spec.limits}
-        settings.write_text("\n".join(_toml_section(*section) for section in sections.items()))
-        command = [sys.executable, "-m", "wheelslip.cli", "node", "--settings", str(settings)]
+        settings_path.write_text("\n".join(_toml_section(*section) for section in sections.items()))
+        command = [sys.executable, "-m", "wheelslip.cli", "node", "--settings", str(settings_path)]
         self.processes[name] = ManagedProcess(name, command, self.directory / f"{name}.log")
 
     def _key_value_address_of(self, node: str) -> str:
@@ -380,22 +430,27 @@
         process.start()
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout: float = START_SECONDS) -> float:
-    """Wait for a condition and return the seconds it took.
+def wait_until(
+    condition: Callable[[], bool], description: str, timeout: float = START_TIMEOUT_SECONDS
+) -> float:
+    """Poll a condition until it is true.
 
-    :raises AssertionError: naming ``what`` when it does not come true in time.
+    :param description: the expected condition, for the error message.
+    :param timeout: seconds to wait.
+    :return: seconds until the condition was true.
+    :raises AssertionError: when the condition is not true in time.
     """
-    began = time.monotonic()
+    start_time = time.monotonic()
     while True:
         if condition():
-            return time.monotonic() - began
-        if time.monotonic() - began > timeout:
-            raise AssertionError(f"not within {timeout:g} s: {what}")
+            return time.monotonic() - start_time
+        if time.monotonic() - start_time > timeout:
+            raise AssertionError(f"condition not met within {timeout:g} s: {description}")
         time.sleep(_POLL_SECONDS)
 
 
 def read_events(response: urllib3.BaseHTTPResponse) -> Iterator[tuple[str, str]]:
-    """Yield ``(event name, data)`` of a caller's event stream."""
+    """Yield ``(event name, data)`` for each event of a server-sent event stream."""
     name = "message"
     for line in _lines(response):
         if line.startswith("event: "):
@@ -412,7 +467,7 @@
         yield from (line.decode() for line in lines)
 
 
-def _python(module: str, flags: dict[str, object]) -> list[str]:
+def _module_command(module: str, flags: dict[str, object]) -> list[str]:
     return [sys.executable, "-m", module, *[f"--{name}={value}" for name, value in flags.items()]]
 
 
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -1,7 +1,8 @@
-"""A model engine as pure code: continuous batching, a prefix cache, priorities.
+"""Simulated model engine with continuous batching, a prefix cache and priorities.
 
-The same class runs in the real stand-in process and in virtual time. It has no clock:
-callers pass ``now`` in seconds and call :meth:`EngineModel.advance`.
+:class:`EngineModel` reads no clock: callers pass the time as ``now``, in seconds, and call
+:meth:`EngineModel.advance`. It is used by the stand-in engine server in real time and by the
+emulator of the benchmarks in virtual time.
 """
 
 import heapq
@@ -14,15 +15,15 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """Speed and size of one engine.
+    """Speed and capacity of one engine.
 
-    :param prefill_tokens_per_second: prompt tokens computed a second.
-    :param step_seconds: fixed time of one batch step.
+    :param prefill_tokens_per_second: prompt tokens computed per second.
+    :param step_seconds: fixed part of the duration of a batch step.
     :param decode_seconds: added to a step for each sequence that decodes in it.
-    :param max_batch: sequences that run at once.
-    :param prefill_chunk_tokens: prompt tokens computed in one step at the most.
-    :param cache_blocks: blocks that the prefix cache holds.
-    :param idle_eviction_seconds: a block unused for this long is evicted.
+    :param max_batch: maximum number of running sequences.
+    :param prefill_chunk_tokens: maximum number of prompt tokens computed in one step.
+    :param cache_blocks: capacity of the prefix cache in blocks.
+    :param idle_eviction_seconds: time without use after which a block is evicted.
     """
 
     prefill_tokens_per_second: float = 8000.0
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True)
 class BlockOrigin:
-    """Whose prompt and which weights a cached block was computed from."""
+    """User and weights version for which a cached block was computed."""
 
     user: str
     weights_version: str
@@ -44,7 +45,17 @@
 
 @dataclass
 class Sequence:
-    """One request inside the engine."""
+    """One request in the engine.
+
+    :ivar block_keys: keys of the prompt's blocks in the prefix cache, from its start on.
+    :ivar priority: sequences with lower values are admitted first.
+    :ivar cached_tokens: prompt tokens taken from the prefix cache.
+    :ivar cached_origins: origins of the cached blocks that were used.
+    :ivar prefill_remaining: prompt tokens still to be computed.
+    :ivar emitted_tokens: output tokens produced so far.
+    :ivar arrival_time: when the sequence was submitted.
+    :ivar start_time: when the sequence was admitted to the batch, or ``None`` before.
+    """
 
     request_id: str
     block_keys: tuple[int, ...]
@@ -55,19 +66,24 @@
     cached_tokens: int = 0
     cached_origins: tuple[BlockOrigin, ...] = ()
     prefill_remaining: int = 0
-    emitted: int = 0
-    arrived: float = 0.0
-    started: float | None = None
+    emitted_tokens: int = 0
+    arrival_time: float = 0.0
+    start_time: float | None = None
 
 
 @dataclass(frozen=True)
 class TokenEvent:
-    """One output token of a sequence; ``finished`` marks the last one."""
+    """One output token of a sequence.
+
+    :ivar index: position in the output, from 0.
+    :ivar finished: whether this is the last token.
+    :ivar emitted_at: time of its emission in seconds.
+    """
 
     request_id: str
     index: int
     finished: bool
-    at: float
+    emitted_at: float
 
 
 @dataclass
@@ -78,14 +94,17 @@
 
 @dataclass
 class CacheChanges:
-    """Blocks stored and removed since the last report."""
+    """Keys of blocks added to and evicted from a prefix cache, in order."""
 
     stored: list[int] = field(default_factory=list)
     removed: list[int] = field(default_factory=list)
 
 
 class PrefixCache:
-    """Cached prompt blocks, least recently used first out, evicted when idle."""
+    """Cached prompt blocks with eviction by capacity (least recently used) and by idle time.
+
+    :ivar changes: blocks added and evicted since the cache was created.
+    """
 
     def __init__(self, capacity: int, idle_seconds: float):
         self._blocks: OrderedDict[int, _Block] = OrderedDict()
@@ -100,7 +119,7 @@
         return key in self._blocks
 
     def match(self, keys: tuple[int, ...], now: float) -> list[_Block]:
-        """Return the cached blocks of the longest cached prefix and mark them used."""
+        """Return the blocks of the longest cached prefix and update their time of use."""
         self.evict_idle(now)
         matched = []
         for key in keys:
@@ -108,14 +127,14 @@
             if block is None:
                 break
             matched.append(block)
-        # Deepest block first, so that the head of a prefix is the last to be evicted.
+        # From the last block to the first, so that the first block of a prefix is evicted last.
         for key in reversed(keys[: len(matched)]):
             self._blocks[key].last_used = now
             self._blocks.move_to_end(key)
         return matched
 
     def store(self, keys: tuple[int, ...], origin: BlockOrigin, now: float) -> None:
-        """Add the blocks of a computed prompt, evicting the least recently used."""
+        """Add the blocks of a computed prompt and evict blocks beyond the capacity."""
         for key in reversed(keys):
             block = self._blocks.get(key)
             if block is None:
@@ -125,23 +144,23 @@
                 block.last_used = now
                 self._blocks.move_to_end(key)
         while len(self._blocks) > self._capacity:
-            self._remove_oldest()
+            self._evict_oldest()
 
     def evict_idle(self, now: float) -> None:
-        """Evict blocks that nobody used for the idle time."""
+        """Evict blocks that were not used for the idle time."""
         while self._blocks:
             oldest = next(iter(self._blocks.values()))
             if now - oldest.last_used < self._idle_seconds:
                 return
-            self._remove_oldest()
+            self._evict_oldest()
 
-    def _remove_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         key, _ = self._blocks.popitem(last=False)
         self.changes.removed.append(key)
 
 
 class EngineModel:
-    """Batches sequences step by step, as time is advanced."""
+    """Continuous batching of sequences in steps of simulated duration."""
 
     def __init__(self, profile: EngineProfile):
         self.profile = profile
@@ -155,23 +174,23 @@
 
     @property
     def running_count(self) -> int:
-        """Sequences in the batch."""
+        """Number of sequences in the batch."""
         return len(self._running)
 
     @property
     def waiting_count(self) -> int:
-        """Sequences not yet in the batch."""
+        """Number of queued sequences."""
         return len(self._waiting)
 
     def submit(self, sequence: Sequence, now: float) -> None:
-        """Queue a sequence; lower ``priority`` values run first."""
-        sequence.arrived = now
+        """Queue a sequence and start a step if the engine is idle."""
+        sequence.arrival_time = now
         heapq.heappush(self._waiting, (sequence.priority, next(self._arrivals), sequence))
         if self._step_end is None:
             self._begin_step(now)
 
     def cancel(self, request_id: str) -> None:
-        """Drop a sequence, waiting or running; unknown ids are ignored."""
+        """Remove a queued or running sequence; unknown ids are ignored."""
         self._running.pop(request_id, None)
         self._waiting = [entry for entry in self._waiting if entry[2].request_id != request_id]
         heapq.heapify(self._waiting)
@@ -181,7 +200,7 @@
         return self._step_end
 
     def advance(self, now: float) -> list[TokenEvent]:
-        """Finish every step that ends by ``now`` and return the tokens it produced."""
+        """Finish all steps that end by ``now`` and return the tokens produced in them."""
         events: list[TokenEvent] = []
         while self._step_end is not None and self._step_end <= now:
             step_end = self._step_end
@@ -201,10 +220,10 @@
             if sequence.prefill_remaining == 0:
                 decoding += 1
                 continue
-            share = min(budget, sequence.prefill_remaining)
-            budget -= share
-            if share:
-                self._step_prefill[sequence.request_id] = share
+            chunk_tokens = min(budget, sequence.prefill_remaining)
+            budget -= chunk_tokens
+            if chunk_tokens:
+                self._step_prefill[sequence.request_id] = chunk_tokens
         prefill_tokens = self.profile.prefill_chunk_tokens - budget
         duration = self.profile.step_seconds
         duration += prefill_tokens / self.profile.prefill_tokens_per_second
@@ -217,17 +236,17 @@
             matched = self.cache.match(sequence.block_keys, now)
             sequence.cached_tokens = min(len(matched) * BLOCK_TOKENS, sequence.prompt_tokens - 1)
             sequence.cached_origins = tuple(block.origin for block in matched)
-            # The last token is always computed, as engines do, so every prefill takes a step.
+            # As in real engines, the last prompt token is always computed, so prefill takes a step.
             sequence.prefill_remaining = max(1, sequence.prompt_tokens - sequence.cached_tokens)
-            sequence.started = now
+            sequence.start_time = now
             self._running[sequence.request_id] = sequence
 
     def _finish_step(self, now: float) -> list[TokenEvent]:
         events = []
         for sequence in list(self._running.values()):
-            share = self._step_prefill.get(sequence.request_id, 0)
+            chunk_tokens = self._step_prefill.get(sequence.request_id, 0)
             if sequence.prefill_remaining:
-                sequence.prefill_remaining -= share
+                sequence.prefill_remaining -= chunk_tokens
                 if sequence.prefill_remaining:
                     continue
                 self.cache.store(sequence.block_keys, sequence.origin, now)
@@ -235,9 +254,9 @@
         return events
 
     def _emit(self, sequence: Sequence, now: float) -> TokenEvent:
-        index = sequence.emitted
-        sequence.emitted += 1
-        finished = sequence.emitted >= sequence.output_tokens
+        index = sequence.emitted_tokens
+        sequence.emitted_tokens += 1
+        finished = sequence.emitted_tokens >= sequence.output_tokens
         if finished:
             del self._running[sequence.request_id]
         return TokenEvent(sequence.request_id, index, finished, now)
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A small fault-injecting proxy for TCP and UDP links, run inside the test process."""
+"""Fault-injecting proxy for TCP connections and UDP datagrams, run in the test process."""
 
 import contextlib
 import enum
@@ -14,7 +14,21 @@
 
 
 class Fault(enum.Enum):
-    """What the proxy does with a link; it applies to open and new connections."""
+    """Faults that a proxy can inject.
+
+    All but ``CROSS`` also affect connections that are already open. Datagrams are forwarded
+    under ``PASS`` only.
+
+    - ``PASS``: forward all data.
+    - ``REFUSE``: reset connections.
+    - ``BLACKHOLE``, ``BLACKHOLE_TO_SERVER``, ``BLACKHOLE_TO_CLIENT``: discard data in both
+      directions or in one, and leave connections open.
+    - ``LOSE_ANSWER``: forward requests, and reset the connection instead of forwarding the
+      response.
+    - ``CUT_AFTER_BYTES``: reset a connection after a number of response bytes.
+    - ``HALF_CLOSE``: discard the response and close the sending side towards the client.
+    - ``CROSS``: accept new connections in pairs and swap their responses.
+    """
 
     PASS = "pass"
     REFUSE = "refuse"
@@ -28,39 +42,47 @@
 
 
 @dataclass
-class _Link:
-    """One connection: whether its latest request holds the proxy's ``match``.
+class _Connection:
+    """State of one connection: which patterns its latest request contains.
 
-    A request may come in several chunks, so what one of them showed holds until the answer.
+    A request may arrive in several chunks, so a match is retained until the next request
+    after a response.
+
+    :ivar matches: whether a chunk of the request contains the proxy's ``match``.
+    :ivar exempt: whether a chunk of the request contains the proxy's ``exempt_match``.
+    :ivar responded: whether response data has arrived for the request.
     """
 
     matches: bool = False
-    spared: bool = False
-    answered: bool = False
+    exempt: bool = False
+    responded: bool = False
 
-    def see(self, data: bytes, to_server: bool, match: bytes, spare: bytes) -> None:
-        """Take note of one chunk."""
+    def record_chunk(self, data: bytes, to_server: bool, match: bytes, exempt_match: bytes) -> None:
+        """Update the state for one chunk."""
         if not to_server:
-            self.answered = True
+            self.responded = True
             return
-        if self.answered:
-            self.matches = self.spared = self.answered = False
+        if self.responded:
+            self.matches = self.exempt = self.responded = False
         self.matches = self.matches or match in data
-        self.spared = self.spared or (bool(spare) and spare in data)
+        self.exempt = self.exempt or (bool(exempt_match) and exempt_match in data)
 
 
 class FaultProxy:
-    """Forwards one listening address to one target, with faults switched at run time.
-
-    :ivar fault: the fault in force.
-    :ivar delay_seconds: added to each chunk towards the client.
-    :ivar cut_bytes: for ``CUT_AFTER_BYTES``, bytes passed to the client before a reset.
-    :ivar match: with this in a request, ``LOSE_ANSWER`` drops its answer; empty matches all.
-    :ivar spare: with this in a request, ``CUT_AFTER_BYTES`` does not cut its answer; empty for none.
-    :ivar blocked_sources: source IPs whose traffic is dropped (a cut between zones).
-    :ivar held_sources: source IPs whose requests are held back until they are taken out.
-    :ivar lost_answers: answers dropped by ``LOSE_ANSWER`` so far.
-    :ivar crossed: directions of connections swapped by ``CROSS`` so far.
+    """Proxy from one listening address to one target, with faults that can be set at any time.
+
+    :ivar fault: the fault to inject.
+    :ivar delay_seconds: delay of each chunk to the client.
+    :ivar cut_bytes: response bytes that ``CUT_AFTER_BYTES`` forwards before the reset.
+    :ivar match: ``LOSE_ANSWER`` applies to requests that contain this; empty for all.
+    :ivar exempt_match: ``CUT_AFTER_BYTES`` does not apply to requests that contain this; empty
+        for no exemption.
+    :ivar blocked_sources: source IPs whose datagrams and connection data, in both directions,
+        are discarded, as in a network partition.
+    :ivar held_sources: source IPs whose data to the server is delayed until they are removed.
+    :ivar dropped_responses: number of responses dropped by ``LOSE_ANSWER``.
+    :ivar connections: number of accepted connections.
+    :ivar swapped_directions: number of connection directions swapped by ``CROSS``, four per pair.
     """
 
     def __init__(self, listen: tuple[str, int], target: tuple[str, int], udp: bool = False):
@@ -68,14 +90,14 @@
         self.delay_seconds = 0.0
         self.cut_bytes = 0
         self.match = b""
-        self.spare = b""
+        self.exempt_match = b""
         self.blocked_sources: set[str] = set()
         self.held_sources: set[str] = set()
-        self.lost_answers = 0
+        self.dropped_responses = 0
         self.connections = 0
-        self.crossed = 0
+        self.swapped_directions = 0
         self._target = target
-        self._crossing: queue.SimpleQueue[socket.socket] = queue.SimpleQueue()
+        self._unpaired_clients: queue.SimpleQueue[socket.socket] = queue.SimpleQueue()
         self._stopping = threading.Event()
         self._listener = socket.create_server(listen, backlog=256)
         self._listener.settimeout(_POLL_SECONDS)
@@ -93,11 +115,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, or has listened, ``IP:PORT``."""
+        """The listening address, ``IP:PORT``; also available after :meth:`stop`."""
         return self._address
 
     def stop(self) -> None:
-        """Close the listening sockets and end the threads."""
+        """Stop the threads and close the listening sockets."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -129,16 +151,18 @@
                 _reset(client)
                 continue
             if self.fault is Fault.CROSS:
-                self._cross(client)
+                self._swap_responses(client)
                 continue
-            threading.Thread(target=self._serve, args=(client, source[0]), daemon=True).start()
+            threading.Thread(
+                target=self._forward_connection, args=(client, source[0]), daemon=True
+            ).start()
 
-    def _cross(self, client: socket.socket) -> None:
-        """Hold one connection until a second comes, then swap the two answers."""
-        if self._crossing.empty():
-            self._crossing.put(client)
+    def _swap_responses(self, client: socket.socket) -> None:
+        """Retain a connection until a second one arrives, then swap the responses of the two."""
+        if self._unpaired_clients.empty():
+            self._unpaired_clients.put(client)
             return
-        other = self._crossing.get()
+        other = self._unpaired_clients.get()
         servers = [socket.create_connection(self._target, timeout=2) for _ in range(2)]
         for origin, sink, to_server in (
             (other, servers[0], True),
@@ -146,37 +170,41 @@
             (servers[0], client, False),
             (servers[1], other, False),
         ):
-            self.crossed += 1
+            self.swapped_directions += 1
             threading.Thread(
-                target=self._pump, args=(origin, sink, "", to_server, _Link()), daemon=True
+                target=self._forward_stream,
+                args=(origin, sink, "", to_server, _Connection()),
+                daemon=True,
             ).start()
 
-    def _serve(self, client: socket.socket, source: str) -> None:
-        link = _Link()
+    def _forward_connection(self, client: socket.socket, source: str) -> None:
+        connection = _Connection()
         try:
             server = socket.create_connection(self._target, timeout=2)
         except OSError:
             _reset(client)
             return
-        upward = threading.Thread(
-            target=self._pump, args=(client, server, source, True, link), daemon=True
+        upstream = threading.Thread(
+            target=self._forward_stream,
+            args=(client, server, source, True, connection),
+            daemon=True,
         )
-        upward.start()
-        self._pump(server, client, source, False, link)
-        upward.join()
+        upstream.start()
+        self._forward_stream(server, client, source, False, connection)
+        upstream.join()
         client.close()
         server.close()
 
-    def _pump(
+    def _forward_stream(
         self,
         origin: socket.socket,
         sink: socket.socket,
         source: str,
         to_server: bool,
-        link: "_Link",
+        connection: _Connection,
     ) -> None:
         origin.settimeout(_POLL_SECONDS)
-        passed = 0
+        offset = 0
         while not self._stopping.is_set():
             try:
                 data = origin.recv(_CHUNK_BYTES)
@@ -190,23 +218,27 @@
                 with contextlib.suppress(OSError):
                     sink.shutdown(socket.SHUT_WR)
                 return
-            link.see(data, to_server, self.match, self.spare)
-            if not self._pass(data, sink, source, to_server, passed, link):
+            connection.record_chunk(data, to_server, self.match, self.exempt_match)
+            if not self._forward_chunk(data, sink, source, to_server, offset, connection):
                 break
-            passed += len(data)
+            offset += len(data)
         _reset(origin)
         _reset(sink)
 
-    def _pass(
+    def _forward_chunk(
         self,
         data: bytes,
         sink: socket.socket,
         source: str,
         to_server: bool,
-        passed: int,
-        link: "_Link",
+        offset: int,
+        connection: _Connection,
     ) -> bool:
-        """Forward or drop one chunk; return whether the connection lives on."""
+        """Forward or discard one chunk.
+
+        :param offset: bytes received earlier in this direction of the connection.
+        :return: whether the connection stays open.
+        """
         while to_server and source in self.held_sources and not self._stopping.is_set():
             time.sleep(_POLL_SECONDS)
         fault = self.fault
@@ -217,9 +249,9 @@
         if fault is Fault.REFUSE:
             return False
         if not to_server:
-            verdict = self._fault_answer(fault, data, sink, passed, link)
-            if verdict is not None:
-                return verdict
+            stays_open = self._apply_response_fault(fault, data, sink, offset, connection)
+            if stays_open is not None:
+                return stays_open
             if self.delay_seconds:
                 time.sleep(self.delay_seconds)
         try:
@@ -228,27 +260,30 @@
             return False
         return True
 
-    def _fault_answer(
-        self, fault: Fault, data: bytes, sink: socket.socket, passed: int, link: "_Link"
+    def _apply_response_fault(
+        self, fault: Fault, data: bytes, sink: socket.socket, offset: int, connection: _Connection
     ) -> bool | None:
-        """Apply a fault to an answer; ``None`` when the chunk is to be forwarded."""
-        if fault is Fault.LOSE_ANSWER and link.matches:
-            self.lost_answers += 1
+        """Apply a fault to one chunk of a response.
+
+        :return: whether the connection stays open, or ``None`` to forward the chunk.
+        """
+        if fault is Fault.LOSE_ANSWER and connection.matches:
+            self.dropped_responses += 1
             return False
         if fault is Fault.HALF_CLOSE:
             with contextlib.suppress(OSError):
                 sink.shutdown(socket.SHUT_WR)
             return True
-        is_cut = fault is Fault.CUT_AFTER_BYTES and not link.spared
-        if is_cut and passed + len(data) > self.cut_bytes:
+        is_cut = fault is Fault.CUT_AFTER_BYTES and not connection.exempt
+        if is_cut and offset + len(data) > self.cut_bytes:
             with contextlib.suppress(OSError):
-                sink.sendall(data[: max(0, self.cut_bytes - passed)])
+                sink.sendall(data[: max(0, self.cut_bytes - offset)])
             return False
         return None
 
 
 def _reset(connection: socket.socket) -> None:
-    """Close with a reset, so that the other end notices at once."""
+    """Close a connection with a TCP reset, so that the peer receives an error at once."""
     with contextlib.suppress(OSError):
         linger = struct.pack("ii", 1, 0)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/standins/machine_list_server.py
+++ b/standins/machine_list_server.py
@@ -1,4 +1,4 @@
-"""Stand-in machine list: live and leaving machines, changed through its control path."""
+"""Stand-in machine list server with a control path for changes of the list."""
 
 import hashlib
 import json
@@ -16,11 +16,16 @@
 
 
 class MachineListServer:
-    """Serves ``GET /machines`` with an ETag; ``POST /control`` replaces the list."""
+    """HTTP server of a machine list.
+
+    ``GET /machines`` returns the list with an ETag. ``POST /control`` accepts ``machines`` (a
+    new list), ``states`` (new states by machine name) and ``freeze`` (whether to serve the
+    present list, without later changes, until it is set to false), and returns the list.
+    """
 
     def __init__(self, address: str, machines: list[dict]):
         self._machines = machines
-        self._frozen: list[dict] | None = None
+        self._frozen_machines: list[dict] | None = None
         self._lock = threading.Lock()
         self.service = HttpService("machine-list", address, self._handle, ServiceLimits())
 
@@ -28,16 +33,16 @@
         with self._lock:
             if request.path == "/control":
                 return self._control(request.json_object())
-            listed = self._machines if self._frozen is None else self._frozen
-            body = json.dumps({"machines": listed}).encode()
-        tag = f'"{hashlib.sha256(body).hexdigest()[:16]}"'
-        if request.headers.get("if-none-match") == tag:
-            return ServiceResponse(304, b"", {"ETag": tag})
-        return ServiceResponse(200, body, {"ETag": tag})
+            served = self._machines if self._frozen_machines is None else self._frozen_machines
+            body = json.dumps({"machines": served}).encode()
+        etag = f'"{hashlib.sha256(body).hexdigest()[:16]}"'
+        if request.headers.get("if-none-match") == etag:
+            return ServiceResponse(304, b"", {"ETag": etag})
+        return ServiceResponse(200, body, {"ETag": etag})
 
     def _control(self, change: dict) -> ServiceResponse:
         if "freeze" in change:
-            self._frozen = list(self._machines) if change["freeze"] else None
+            self._frozen_machines = list(self._machines) if change["freeze"] else None
         if "machines" in change:
             self._machines = change["machines"]
         for name, state in change.get("states", {}).items():
@@ -49,7 +54,10 @@
 
 
 def main(address: str, machines: str) -> None:
-    """Run the stand-in; ``machines`` is a file with a JSON list of machines."""
+    """Run the stand-in machine list server until the process is terminated.
+
+    :param machines: path of a file with a JSON list of machines.
+    """
     with open(machines) as file:
         server = MachineListServer(address, json.load(file))
     server.service.start()
