--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -88,7 +88,7 @@
 def _measure(cluster: Cluster, seconds: float, rate: float) -> tuple[Samples, Samples]:
     """Send a few requests both ways, in turn."""
     through_node, direct = Samples(), Samples()
-    node_url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
+    node_url = f"http://{cluster.caller_address('node-1')}/v1/chat/completions"
     engine_urls = itertools.cycle(
         f"http://{machine['address']}/v1/chat/completions" for machine in cluster.machines()
     )
@@ -133,7 +133,7 @@
             cluster.wait_engines(ENGINES)
             process_id = cluster.processes["node-1"].process.pid
             cpu_before, began = cpu_seconds(process_id), time.monotonic()
-            url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
+            url = f"http://{cluster.caller_address('node-1')}/v1/chat/completions"
             bulk = subprocess.Popen(
                 [sys.executable, "-m", "bench.overhead", "bulk_load", url]
                 + [str(seconds), str(rate - MEASURED_RATE / 2)]
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -238,7 +238,7 @@
                 self.history.changes.append(change)
 
     def _change(self, node: str, change: Change) -> None:
-        base = f"http://{self._cluster.operators(node)}"
+        base = f"http://{self._cluster.operator_address(node)}"
         current = self._cluster.http.request("GET", f"{base}/v1/objects", timeout=5)
         if current.status != 200:
             return
@@ -261,7 +261,7 @@
         while not self._stop.wait(0.1):
             for node in self._cluster.nodes:
                 try:
-                    url = f"http://{self._cluster.callers(node)}/readyz"
+                    url = f"http://{self._cluster.caller_address(node)}/readyz"
                     revision = self._cluster.http.request("GET", url, timeout=0.5).json()
                     revision = revision.get("revision")
                 except (urllib3.exceptions.HTTPError, ValueError):
@@ -311,7 +311,7 @@
     unknown = {change.deadline for change in history.changes if change.told == "unknown"}
     last = max(accepted, key=lambda change: change.revision, default=None)
     for node in cluster.nodes:
-        url = f"http://{cluster.operators(node)}/v1/objects"
+        url = f"http://{cluster.operator_address(node)}/v1/objects"
         answer = cluster.http.request("GET", url).json()
         if last is None:
             continue
@@ -346,7 +346,7 @@
         revisions = set()
         for node in cluster.nodes:
             try:
-                url = f"http://{cluster.callers(node)}/readyz"
+                url = f"http://{cluster.caller_address(node)}/readyz"
                 revisions.add(cluster.http.request("GET", url, timeout=2).json().get("revision"))
             except urllib3.exceptions.HTTPError:
                 return False
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -47,7 +47,7 @@
     """Send a streamed chat, print its text and return its usage."""
     response = cluster.http.request(
         "POST",
-        f"http://{cluster.callers(node)}/v1/chat/completions",
+        f"http://{cluster.caller_address(node)}/v1/chat/completions",
         json=chat_body(question, True) | {"stream_options": {"include_usage": True}},
         headers=_HEADERS,
         preload_content=False,
@@ -65,7 +65,7 @@
     """Send a plain chat, print its text and return its usage."""
     body = chat_body(question, False)
     body.pop("stream_options")
-    url = f"http://{cluster.callers(node)}/v1/chat/completions"
+    url = f"http://{cluster.caller_address(node)}/v1/chat/completions"
     response = cluster.http.request("POST", url, json=body, headers=_HEADERS)
     if response.status != 200:
         raise StepFailed(f"status {response.status}: {response.data!r}")
@@ -104,7 +104,7 @@
         if usage["prompt_tokens_details"]["cached_tokens"] == 0:
             raise StepFailed("the second request found nothing cached")
     with step("status"):
-        print(cluster.command("status", "--node", cluster.operators("node-2")).rstrip())
+        print(cluster.command("status", "--node", cluster.operator_address("node-2")).rstrip())
 
 
 def main() -> int:
--- a/tests/probe/callers.py
+++ b/tests/probe/callers.py
@@ -73,7 +73,7 @@
         "Connection": "close",
         "X-Deadline-Seconds": "60",
     } | (headers or {})
-    url = f"http://{cluster.callers(node)}/v1/chat/completions"
+    url = f"http://{cluster.caller_address(node)}/v1/chat/completions"
     try:
         response = cluster.http.request(
             "POST", url, json=body, headers=all_headers, preload_content=False, timeout=timeout
--- a/tests/probe/test_api_page.py
+++ b/tests/probe/test_api_page.py
@@ -11,8 +11,8 @@
 def test_every_command_of_the_page_works(make_cluster):
     cluster = make_cluster(engines=2, nodes=1)
     environment = os.environ | {
-        "CALLERS": cluster.callers("node-1"),
-        "OPERATORS": cluster.operators("node-1"),
+        "CALLERS": cluster.caller_address("node-1"),
+        "OPERATORS": cluster.operator_address("node-1"),
         "KEY": "thibodeau-key",
     }
     blocks = re.findall(r"```sh\n(.*?)```", PAGE.read_text(), re.S)
--- a/tests/probe/test_at_most_once.py
+++ b/tests/probe/test_at_most_once.py
@@ -105,7 +105,7 @@
     threads = [threading.Thread(target=call, args=(nonce,)) for nonce in nonces]
     for thread in threads:
         thread.start()
-    wait_until(lambda: proxy.lost_answers >= 6, "six answers are lost")
+    wait_until(lambda: proxy.dropped_responses >= 6, "six answers are lost")
     proxy.fault = Fault.PASS
     for thread in threads:
         thread.join()
@@ -202,7 +202,7 @@
 def test_caller_gone_leaves_the_attempt_to_finish_for_a_repeat(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
     body = notice("gone", 60)
-    url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
+    url = f"http://{cluster.caller_address('node-1')}/v1/chat/completions"
     headers = key("gone") | {"Authorization": "Bearer thibodeau-key"}
     response = cluster.http.request("POST", url, json=body, headers=headers, preload_content=False)
     response.read1(10)
--- a/tests/probe/test_configuration.py
+++ b/tests/probe/test_configuration.py
@@ -29,7 +29,7 @@
 
 
 def objects(cluster, node):
-    return cluster.http.request("GET", f"http://{cluster.operators(node)}/v1/objects").json()
+    return cluster.http.request("GET", f"http://{cluster.operator_address(node)}/v1/objects").json()
 
 
 def deadline_at(cluster, node, name):
@@ -50,7 +50,7 @@
         "change_id": change_id,
     }
     return cluster.http.request(
-        "POST", f"http://{cluster.operators(node)}/v1/apply", json=body, timeout=30
+        "POST", f"http://{cluster.operator_address(node)}/v1/apply", json=body, timeout=30
     )
 
 
@@ -69,7 +69,7 @@
         highest = {}
         while not self._stop.wait(0.05):
             for node in self._cluster.nodes:
-                url = f"http://{self._cluster.callers(node)}/readyz"
+                url = f"http://{self._cluster.caller_address(node)}/readyz"
                 try:
                     response = self._cluster.http.request("GET", url, timeout=0.5)
                     revision = response.json().get("revision")
@@ -139,7 +139,7 @@
         target=lambda: answers.append(apply_raw(cluster, "node-1", "lost", 7, expected, "lost-1"))
     )
     operator.start()
-    wait_until(lambda: proxy.lost_answers >= 1, "the answer is lost")
+    wait_until(lambda: proxy.dropped_responses >= 1, "the answer is lost")
     proxy.fault = Fault.PASS
     operator.join(30)
     (answer,) = answers
@@ -168,9 +168,9 @@
     )
     proxy.match = b"/v3/kv/txn"
     proxy.fault = Fault.LOSE_ANSWER
-    lost_before = proxy.lost_answers
+    lost_before = proxy.dropped_responses
     operator.start()
-    wait_until(lambda: proxy.lost_answers > lost_before, "the answer is lost")
+    wait_until(lambda: proxy.dropped_responses > lost_before, "the answer is lost")
     proxy.fault = Fault.BLACKHOLE
     operator.join(60)
     assert second[0].json()["error"]["code"] == "configuration_outcome_unknown", second[0].data
@@ -200,7 +200,7 @@
 
 def ready(cluster, node):
     try:
-        url = f"http://{cluster.callers(node)}/readyz"
+        url = f"http://{cluster.caller_address(node)}/readyz"
         return cluster.http.request("GET", url, timeout=1).status == 200
     except Exception:
         return False
@@ -292,7 +292,9 @@
     assert "Workload/dangling" in output and "spec.model" in output and "nowhere" in output
     assert "Workload/good" not in objects(cluster, "node-1")["objects"]
     shown = json.loads(
-        cluster.command("get", "Tenant", "--node", cluster.operators("node-1"), "--output", "json")
+        cluster.command(
+            "get", "Tenant", "--node", cluster.operator_address("node-1"), "--output", "json"
+        )
     )
     assert list(shown["objects"]) == ["Tenant/claims-desk"]
     conflict = cluster.apply("node-1", str(bad), "--expected-revision", "1", expect=1)
--- a/tests/probe/test_leaving.py
+++ b/tests/probe/test_leaving.py
@@ -26,7 +26,7 @@
 
 def leave_by_operator_drain(cluster):
     cluster.control_machines({"freeze": True})
-    cluster.command("drain", "engine-1", "--node", cluster.operators("node-3"))
+    cluster.command("drain", "engine-1", "--node", cluster.operator_address("node-3"))
 
 
 @pytest.mark.parametrize(
--- a/tests/probe/test_own_answer.py
+++ b/tests/probe/test_own_answer.py
@@ -18,7 +18,7 @@
     time.sleep(1.5)
     proxy.fault = Fault.PASS
     outcomes = callers.join()
-    assert proxy.crossed >= 4
+    assert proxy.swapped_directions >= 4
     assert_own_and_whole(outcomes)
     assert any(outcome.whole for outcome in outcomes)
 
--- a/tests/probe/test_path.py
+++ b/tests/probe/test_path.py
@@ -28,7 +28,7 @@
 
 def openai_client(cluster, node="node-1"):
     return openai.OpenAI(
-        base_url=f"http://{cluster.callers(node)}/v1", api_key=API_KEY, max_retries=0
+        base_url=f"http://{cluster.caller_address(node)}/v1", api_key=API_KEY, max_retries=0
     )
 
 
@@ -69,7 +69,7 @@
 
 
 def test_health_readiness_and_metrics(cluster):
-    base = f"http://{cluster.callers('node-1')}"
+    base = f"http://{cluster.caller_address('node-1')}"
     assert cluster.http.request("GET", f"{base}/healthz").status == 200
     assert cluster.http.request("GET", f"{base}/readyz").json()["revision"] > 0
     send(cluster, "node-1", chat_body("metrics"))
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", list(BAD_BODIES))
 def test_bad_bodies_get_a_clear_4xx(cluster, name):
     body, kind, place = BAD_BODIES[name]
-    url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
+    url = f"http://{cluster.caller_address('node-1')}/v1/chat/completions"
     response = cluster.http.request(
         "POST", url, body=body, headers={"Authorization": f"Bearer {API_KEY}"}
     )
@@ -123,7 +123,7 @@
 
 
 def test_bad_headers_and_paths(cluster):
-    base = f"http://{cluster.callers('node-1')}"
+    base = f"http://{cluster.caller_address('node-1')}"
     good = chat_body("x")
     assert send(cluster, "node-1", good, key="unknown").kind == "authentication_failed"
     assert send(cluster, "node-1", good, {"X-Deadline-Seconds": "soon"}).status == 400
@@ -143,7 +143,7 @@
 
 
 def raw_request(cluster, body, announced=None):
-    host, _, port = cluster.callers("node-1").partition(":")
+    host, _, port = cluster.caller_address("node-1").partition(":")
     connection = socket.create_connection((host, int(port)), timeout=20)
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -178,7 +178,7 @@
 def test_caller_that_stops_reading_is_cut_and_the_work_stopped(cluster):
     body = chat_body("stuck", tokens=4000, prefix="stuck")
     digest = body_digest(body)
-    host, _, port = cluster.callers("node-1").partition(":")
+    host, _, port = cluster.caller_address("node-1").partition(":")
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     connection.connect((host, int(port)))
--- a/tests/probe/test_planned_stop.py
+++ b/tests/probe/test_planned_stop.py
@@ -28,7 +28,7 @@
     time.sleep(0.3)
     cluster.processes["node-1"].process.terminate()
     time.sleep(0.3)
-    ready = cluster.http.request("GET", f"http://{cluster.callers('node-1')}/readyz")
+    ready = cluster.http.request("GET", f"http://{cluster.caller_address('node-1')}/readyz")
     assert ready.status == 503
     during_lame_duck = send(cluster, "node-1", chat_body("late", tokens=2))
     assert during_lame_duck.whole
@@ -74,7 +74,7 @@
         ready[node] = False
         assert process.process.wait(60) == 0
         cluster.start_node(node)
-        cluster.wait_http(f"http://{cluster.callers(node)}/readyz")
+        cluster.wait_http(f"http://{cluster.caller_address(node)}/readyz")
         cluster.wait_engines(3, [node])
         ready[node] = True
     stop.set()
--- a/tests/probe/test_restart.py
+++ b/tests/probe/test_restart.py
@@ -23,7 +23,7 @@
 
 
 def revision(cluster, node):
-    response = cluster.http.request("GET", f"http://{cluster.callers(node)}/readyz")
+    response = cluster.http.request("GET", f"http://{cluster.caller_address(node)}/readyz")
     return response.json().get("revision")
 
 
--- a/tests/probe/test_streams.py
+++ b/tests/probe/test_streams.py
@@ -36,7 +36,7 @@
     proxy = small_cluster.engine_proxies["engine-1"]
     proxy.cut_bytes = cut
     # Readings of the engine's status pass: after two that are cut the node rightly serves nobody.
-    proxy.spare = b"GET /status "
+    proxy.exempt_match = b"GET /status "
     proxy.fault = Fault.CUT_AFTER_BYTES
     callers = Callers(small_cluster)
     callers.start("node-1", stream=stream)
