--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -166,6 +166,7 @@
 
         :param proxied: return the address of its proxy instead, if the cluster uses proxies.
         """
+        # The host number of a proxy is that of its process plus 100.
         offset = 100 if proxied and self._proxied else 0
         return f"{self._network_prefix}.{self._host_numbers[name] + offset}"
 
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -201,7 +201,7 @@
         sink: socket.socket,
         source: str,
         to_server: bool,
-        connection: _Connection,
+        connection: "_Connection",
     ) -> None:
         origin.settimeout(_POLL_SECONDS)
         offset = 0
@@ -232,7 +232,7 @@
         source: str,
         to_server: bool,
         offset: int,
-        connection: _Connection,
+        connection: "_Connection",
     ) -> bool:
         """Forward or discard one chunk.
 
@@ -261,7 +261,7 @@
         return True
 
     def _apply_response_fault(
-        self, fault: Fault, data: bytes, sink: socket.socket, offset: int, connection: _Connection
+        self, fault: Fault, data: bytes, sink: socket.socket, offset: int, connection: "_Connection"
     ) -> bool | None:
         """Apply a fault to one chunk of a response.
 
