--- a/tests/probe/test_at_most_once.py
+++ b/tests/probe/test_at_most_once.py
@@ -108,7 +108,7 @@
     threads = [threading.Thread(target=call, args=(nonce,)) for nonce in nonces]
     for thread in threads:
         thread.start()
-    wait_until(lambda: proxy.lost_answers >= 6, "six replies are lost")
+    wait_until(lambda: proxy.dropped_responses >= 6, "six replies are lost")
     proxy.fault = Fault.PASS
     for thread in threads:
         thread.join()
@@ -213,7 +213,7 @@
 def test_claimed_attempt_completes_after_caller_disconnect(make_cluster):
     cluster = make_cluster(engines=1, nodes=1)
     body = notice_body("gone", 60)
-    url = f"http://{cluster.callers('node-1')}/v1/chat/completions"
+    url = f"http://{cluster.caller_address('node-1')}/v1/chat/completions"
     headers = key_headers("gone") | {"Authorization": "Bearer thibodeau-key"}
     response = cluster.http.request("POST", url, json=body, headers=headers, preload_content=False)
     response.read1(10)
--- a/tests/probe/test_configuration.py
+++ b/tests/probe/test_configuration.py
@@ -29,7 +29,7 @@
 
 
 def objects(cluster, node):
-    return cluster.http.request("GET", f"http://{cluster.operators(node)}/v1/objects").json()
+    return cluster.http.request("GET", f"http://{cluster.operator_address(node)}/v1/objects").json()
 
 
 def deadline_at(cluster, node, name):
@@ -50,7 +50,7 @@
         "change_id": change_id,
     }
     return cluster.http.request(
-        "POST", f"http://{cluster.operators(node)}/v1/apply", json=body, timeout=30
+        "POST", f"http://{cluster.operator_address(node)}/v1/apply", json=body, timeout=30
     )
 
 
@@ -69,7 +69,7 @@
         highest = {}
         while not self._stop.wait(0.05):
             for node in self._cluster.nodes:
-                url = f"http://{self._cluster.callers(node)}/readyz"
+                url = f"http://{self._cluster.caller_address(node)}/readyz"
                 try:
                     response = self._cluster.http.request("GET", url, timeout=0.5)
                     revision = response.json().get("revision")
@@ -141,7 +141,7 @@
         target=lambda: responses.append(apply_raw(cluster, "node-1", "lost", 7, expected, "lost-1"))
     )
     operator.start()
-    wait_until(lambda: proxy.lost_answers >= 1, "the response is lost")
+    wait_until(lambda: proxy.dropped_responses >= 1, "the response is lost")
     proxy.fault = Fault.PASS
     operator.join(30)
     (response,) = responses
@@ -170,9 +170,9 @@
     )
     proxy.match = b"/v3/kv/txn"
     proxy.fault = Fault.LOSE_ANSWER
-    lost_before = proxy.lost_answers
+    lost_before = proxy.dropped_responses
     operator.start()
-    wait_until(lambda: proxy.lost_answers > lost_before, "the response is lost")
+    wait_until(lambda: proxy.dropped_responses > lost_before, "the response is lost")
     proxy.fault = Fault.BLACKHOLE
     operator.join(60)
     assert second[0].json()["error"]["code"] == "configuration_outcome_unknown", second[0].data
@@ -204,7 +204,7 @@
 
 def ready(cluster, node):
     try:
-        url = f"http://{cluster.callers(node)}/readyz"
+        url = f"http://{cluster.caller_address(node)}/readyz"
         return cluster.http.request("GET", url, timeout=1).status == 200
     except Exception:
         return False
@@ -296,7 +296,9 @@
     assert "Workload/dangling" in output and "spec.model" in output and "nowhere" in output
     assert "Workload/good" not in objects(cluster, "node-1")["objects"]
     shown = json.loads(
-        cluster.command("get", "Tenant", "--node", cluster.operators("node-1"), "--output", "json")
+        cluster.command(
+            "get", "Tenant", "--node", cluster.operator_address("node-1"), "--output", "json"
+        )
     )
     assert list(shown["objects"]) == ["Tenant/claims-desk"]
     conflict = cluster.apply("node-1", str(bad), "--expected-revision", "1", expect=1)
--- a/tests/probe/test_own_answer.py
+++ b/tests/probe/test_own_answer.py
@@ -18,7 +18,7 @@
     time.sleep(1.5)
     proxy.fault = Fault.PASS
     outcomes = callers.join()
-    assert proxy.crossed >= 4
+    assert proxy.swapped_directions >= 4
     assert_own_and_complete(outcomes)
     assert any(outcome.is_complete for outcome in outcomes)
 
--- a/tests/probe/test_streams.py
+++ b/tests/probe/test_streams.py
@@ -36,7 +36,7 @@
     proxy = small_cluster.engine_proxies["engine-1"]
     proxy.cut_bytes = cut
     # Status reads are not cut: two failed reads would mark the only engine as down.
-    proxy.spare = b"GET /status "
+    proxy.exempt_match = b"GET /status "
     proxy.fault = Fault.CUT_AFTER_BYTES
     callers = Callers(small_cluster)
     callers.start("node-1", stream=stream)
