--- a/standins/asyncio_http.py
+++ b/standins/asyncio_http.py
@@ -1,4 +1,7 @@
-"""A small HTTP server on asyncio and h11 for stand-ins that must misbehave byte by byte."""
+"""Minimal HTTP/1.1 server on asyncio and h11 whose handlers control every byte of a response.
+
+Stand-ins use it to send malformed, incomplete or late responses.
+"""
 
 import asyncio
 import contextlib
@@ -11,7 +14,13 @@
 
 @dataclass(frozen=True)
 class StandInRequest:
-    """One request; header names are in lower case."""
+    """A received request.
+
+    :ivar path: decoded as Latin-1, without the query.
+    :ivar target: request target as received.
+    :ivar query: first value of each query parameter.
+    :ivar headers: by lower-case name.
+    """
 
     method: str
     path: str
@@ -21,18 +30,24 @@
     body: bytes
 
 
-class Exchange:
-    """One connection of a stand-in; answers are written whole, in parts or as raw bytes."""
+class ServerConnection:
+    """Server side of one connection.
+
+    Responses are written completely, in parts or as raw bytes.
+
+    :ivar closed: set when the client has closed the connection during a request; see
+        :meth:`watch_for_close`.
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         self._reader = reader
         self._writer = writer
         self._parser = h11.Connection(h11.SERVER)
         self.closed = asyncio.Event()
-        self._reading: asyncio.Task | None = None
+        self._close_watch: asyncio.Task | None = None
 
     async def read_request(self) -> StandInRequest | None:
-        """Return the next request, or ``None`` at the end of the connection."""
+        """Return the next request, or ``None`` if the connection is closed."""
         head, body = None, bytearray()
         while True:
             event = self._parser.next_event()
@@ -43,15 +58,15 @@
             elif isinstance(event, h11.Data):
                 body += event.data
             elif isinstance(event, h11.EndOfMessage):
-                return _request(head, bytes(body))
+                return _build_request(head, bytes(body))
             else:
                 return None
 
     def watch_for_close(self) -> None:
-        """Set :attr:`closed` when the peer closes while its request is being worked on."""
-        self._reading = asyncio.get_running_loop().create_task(self._until_closed())
+        """Start watching the connection; set :attr:`closed` when the client closes it."""
+        self._close_watch = asyncio.get_running_loop().create_task(self._wait_for_close())
 
-    async def _until_closed(self) -> None:
+    async def _wait_for_close(self) -> None:
         with contextlib.suppress(OSError):
             data = await self._reader.read(65536)
             if data:
@@ -60,57 +75,57 @@
         self.closed.set()
 
     async def stop_watching(self) -> None:
-        """End the watch for the peer's close."""
-        if self._reading is not None and not self._reading.done():
-            self._reading.cancel()
+        """Stop watching for a close by the client."""
+        if self._close_watch is not None and not self._close_watch.done():
+            self._close_watch.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._reading
-        self._reading = None
+                await self._close_watch
+        self._close_watch = None
 
-    def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Write the head of an answer."""
+    def send_head(self, status: int, headers: list[tuple[str, str]]) -> None:
+        """Send the status line and the headers of a response."""
         encoded = [(name.encode(), value.encode()) for name, value in headers]
-        self.raw(self._parser.send(h11.Response(status_code=status, headers=encoded)))
+        self.send_raw(self._parser.send(h11.Response(status_code=status, headers=encoded)))
 
-    def data(self, body: bytes) -> None:
-        """Write part of a body."""
-        self.raw(self._parser.send(h11.Data(data=body)))
+    def send_body(self, body: bytes) -> None:
+        """Send a part of the response body."""
+        self.send_raw(self._parser.send(h11.Data(data=body)))
 
-    def end(self) -> None:
-        """End an answer."""
-        self.raw(self._parser.send(h11.EndOfMessage()))
+    def end_response(self) -> None:
+        """Send the end of the response."""
+        self.send_raw(self._parser.send(h11.EndOfMessage()))
 
-    def answer(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Write a whole answer."""
-        self.start(status, [*headers, ("Content-Length", str(len(body)))])
+    def send_response(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+        """Send a complete response with a ``Content-Length`` header."""
+        self.send_head(status, [*headers, ("Content-Length", str(len(body)))])
         if body:
-            self.data(body)
-        self.end()
+            self.send_body(body)
+        self.end_response()
 
-    def raw(self, data: bytes | None) -> None:
-        """Write bytes as they are."""
+    def send_raw(self, data: bytes | None) -> None:
+        """Send bytes without passing them through the HTTP parser."""
         if data:
             self._writer.write(data)
 
     def reset(self) -> None:
-        """Break the connection off."""
+        """Abort the connection and discard unsent data."""
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Close the connection in an orderly way."""
+        """Close the connection after unsent data has been written."""
         self._writer.close()
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may come."""
+        """Whether the connection can serve another request."""
         return self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
 
     def next_cycle(self) -> None:
-        """Prepare for the next request."""
+        """Reset the parser for the next request."""
         self._parser.start_next_cycle()
 
 
-def _request(head: h11.Request, body: bytes) -> StandInRequest:
+def _build_request(head: h11.Request, body: bytes) -> StandInRequest:
     path, _, query = head.target.decode("latin-1").partition("?")
     return StandInRequest(
         head.method.decode(),
@@ -122,51 +137,60 @@
     )
 
 
-Handler = Callable[[StandInRequest, Exchange], Awaitable[None]]
+Handler = Callable[[StandInRequest, ServerConnection], Awaitable[None]]
+"""Handles one request and writes the response to the connection."""
 
 
 class StandInServer:
-    """Serves a handler on a loopback port."""
+    """HTTP server on a loopback port.
+
+    :ivar address: ``HOST:PORT``; empty before the first start.
+    :ivar silent: read requests without ever responding to them.
+    :ivar accepted_connections: number of connections accepted so far.
+    """
 
     def __init__(self, handler: Handler):
         self._handler = handler
         self._server: asyncio.Server | None = None
-        self._exchanges: set[Exchange] = set()
+        self._open_connections: set[ServerConnection] = set()
         self.address = ""
         self.silent = False
-        self.connections = 0
+        self.accepted_connections = 0
 
     async def start(self, port: int = 0) -> None:
-        """Begin to listen."""
+        """Start listening.
+
+        :param port: 0 for any free port.
+        """
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        host, bound = self._server.sockets[0].getsockname()
-        self.address = f"{host}:{bound}"
+        host, bound_port = self._server.sockets[0].getsockname()
+        self.address = f"{host}:{bound_port}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        exchange = Exchange(reader, writer)
-        self._exchanges.add(exchange)
-        self.connections += 1
+        connection = ServerConnection(reader, writer)
+        self._open_connections.add(connection)
+        self.accepted_connections += 1
         try:
-            while (request := await exchange.read_request()) is not None:
+            while (request := await connection.read_request()) is not None:
                 if self.silent:
                     await asyncio.Event().wait()
-                await self._handler(request, exchange)
-                if not exchange.reusable:
+                await self._handler(request, connection)
+                if not connection.reusable:
                     break
-                exchange.next_cycle()
+                connection.next_cycle()
         except (OSError, h11.ProtocolError, asyncio.CancelledError):
             pass
         finally:
-            self._exchanges.discard(exchange)
+            self._open_connections.discard(connection)
             with contextlib.suppress(RuntimeError):
                 writer.close()
 
     def reset_all(self) -> None:
-        """Break all connections off."""
-        for exchange in list(self._exchanges):
-            exchange.reset()
+        """Abort all open connections."""
+        for connection in list(self._open_connections):
+            connection.reset()
 
     async def stop(self) -> None:
-        """End: nothing listens any more and all connections break."""
+        """Stop listening and abort all open connections."""
         self._server.close()
         self.reset_all()
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,7 +1,7 @@
-"""A site in one event loop: store and workers as stand-ins, forwarding nodes, callers.
+"""A deployment in one event loop: stand-in store and workers, forwarding nodes and callers.
 
-Sockets are real (loopback); configuration and workers are written to the store as operators
-and workers do it.
+They communicate over loopback sockets. Configuration and worker entries are written to the store
+in the form in which operators and workers write them.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 HOST = "site.example"
 KEY = "key-1"
-PATIENCE_SECONDS = 20.0
+WAIT_TIMEOUT_SECONDS = 20.0
 PLAIN = {"host": HOST, "path_prefix": "/plain/", "kind": "non_idempotent", "service": "plain"}
 SAFE = {"host": HOST, "path_prefix": "/safe/", "kind": "idempotent", "service": "plain"}
 STREAM = {"host": HOST, "path_prefix": "/stream/", "kind": "streaming", "service": "engines"}
@@ -36,19 +36,20 @@
 ENGINES = {"name": "engines", "backend_engine": {"capacity": 8, "kv_capacity": 100000}}
 
 
-PORTS = range(20_000, 32_000)
-"""Ports that the system gives to nobody by itself: it takes those of outgoing connections, and of
-servers that ask for any, from 32,768 on (Linux)."""
+TEST_PORTS = range(20_000, 32_000)
+"""Ports below Linux's ephemeral range (from 32,768), so the system does not assign them."""
 
-PARTS = 8
-"""Test processes side by side that have ports of their own; more of them share."""
+MAX_TEST_PROCESSES = 8
+"""Number of parallel test processes with disjoint port ranges; further ones share a range."""
 
 
 def _own_ports() -> range:
-    """Return the ports of this process, beside other processes of one test run."""
-    number = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")) % PARTS
-    size = len(PORTS) // PARTS
-    return PORTS[number * size : (number + 1) * size]
+    """Return the port range of this process, by its pytest-xdist worker number."""
+    number = (
+        int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")) % MAX_TEST_PROCESSES
+    )
+    size = len(TEST_PORTS) // MAX_TEST_PROCESSES
+    return TEST_PORTS[number * size : (number + 1) * size]
 
 
 _next_ports = itertools.cycle(_own_ports())
@@ -57,26 +58,32 @@
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on just now, and that this process has not given out of late.
+    """Return a port on which nothing listens.
 
-    A node listens on it some time later. Of ports that the system gave for a moment, one was taken again in
-    between, beside another run of all tests: ``address already in use``.
+    Ports are returned in turn, so that a port is not returned again before its user listens on it.
+    An ephemeral port could be assigned to another process in the meantime.
     """
     for port in _next_ports:
-        with socket.socket() as probe, contextlib.suppress(OSError):
-            probe.bind(("127.0.0.1", port))
+        with socket.socket() as sock, contextlib.suppress(OSError):
+            sock.bind(("127.0.0.1", port))
             return port
 
 
 def configuration(version: int = 1, routes=None, keys=(KEY,), **changes) -> dict:
-    """Return a whole configuration as operators write it."""
+    """Return a complete configuration document.
+
+    :param routes: documents of the routes, whose defaults are filled in; ``None`` for one of each
+        kind.
+    :param keys: API keys of the tenant.
+    :param changes: replacements of top-level keys.
+    """
     document = {
         "version": version,
         "routes": [
             {"name": f"r{number}", "timeout_ms": 5000, "target_latency_ms": 1000}
-            | {"priority": 1, "max_attempts": 2 if one["kind"] == "idempotent" else 1}
-            | one
-            for number, one in enumerate(routes or [PLAIN, SAFE, STREAM, RESUMED])
+            | {"priority": 1, "max_attempts": 2 if route["kind"] == "idempotent" else 1}
+            | route
+            for number, route in enumerate(routes or [PLAIN, SAFE, STREAM, RESUMED])
         ],
         "services": [{"name": "plain"}, ENGINES],
         "limits": {
@@ -90,17 +97,24 @@
     return document | changes
 
 
-async def until(condition: Callable[[], object], what: str) -> None:
-    """Wait for a condition; fail by name after a generous time."""
-    give_up_at = time.monotonic() + PATIENCE_SECONDS
+async def wait_until(condition: Callable[[], object], description: str) -> None:
+    """Wait for a condition.
+
+    :param description: of the condition, for the failure message.
+    :raises AssertionError: if it is not met in time.
+    """
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < give_up_at, f"did not come true: {what}"
+        assert time.monotonic() < deadline, f"condition not met in time: {description}"
         await asyncio.sleep(0.01)
 
 
 @dataclass
-class Answer:
-    """What a caller got; ``complete`` is false when the connection broke first."""
+class Response:
+    """Response received by a caller.
+
+    :ivar complete: false if the connection was closed before the end of the response.
+    """
 
     status: int
     headers: dict[str, str]
@@ -109,7 +123,7 @@
 
 
 class Caller:
-    """One caller's connection."""
+    """Client connection to a node."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -117,63 +131,78 @@
 
     @classmethod
     async def connect(cls, address: str) -> "Caller":
-        """Open a connection to a node."""
+        """Open a connection to a node's address, given as ``HOST:PORT``."""
         host, _, port = address.partition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
     def send(self, path: str, request_id: str, body: bytes = b"x", key: str = KEY, **headers):
-        """Write a whole request; underscores in header names become dashes."""
-        named = {
+        """Send a complete request.
+
+        :param headers: additional headers; underscores in their names become hyphens.
+        """
+        fields = {
             "Host": HOST,
             "Wheelslip-Request-Id": request_id,
             "Authorization": f"Token {key}",
             "Content-Length": str(len(body)),
         }
-        named |= {name.replace("_", "-"): str(value) for name, value in headers.items()}
-        request = h11.Request(method="POST", target=path, headers=list(named.items()))
+        fields |= {name.replace("_", "-"): str(value) for name, value in headers.items()}
+        request = h11.Request(method="POST", target=path, headers=list(fields.items()))
         data = self.parser.send(request)
         if body:
             data += self.parser.send(h11.Data(data=body))
         self.writer.write(data + self.parser.send(h11.EndOfMessage()))
 
-    async def answer(self) -> Answer:
-        """Read one answer, whole or broken off."""
-        got = None
+    async def read_response(self) -> Response:
+        """Read one response, which may be incomplete.
+
+        :raises AssertionError: if the connection is closed before a response.
+        """
+        response = None
         while True:
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError:
-                if got is None:
+                if response is None:
                     raise
-                got.complete = False
-                return got
+                response.complete = False
+                return response
             if event is h11.NEED_DATA:
                 try:
                     data = await self.reader.read(65536)
                 except OSError:
-                    assert got is not None, "connection reset before an answer"
-                    got.complete = False
-                    return got
+                    assert response is not None, "connection reset before a response"
+                    response.complete = False
+                    return response
                 self.parser.receive_data(data)
             elif isinstance(event, h11.Response):
                 headers = {name.decode(): value.decode() for name, value in event.headers}
-                got = Answer(event.status_code, headers, b"")
+                response = Response(event.status_code, headers, b"")
             elif isinstance(event, h11.Data):
-                got.body += event.data
+                response.body += event.data
             elif isinstance(event, h11.EndOfMessage):
                 if self.parser.their_state is h11.DONE and self.parser.our_state is h11.DONE:
                     self.parser.start_next_cycle()
-                return got
+                return response
             else:
-                raise AssertionError("connection closed before an answer")
+                raise AssertionError("connection closed before a response")
 
-    def leave(self) -> None:
-        """Close at once."""
+    def abort(self) -> None:
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 class Site:
-    """Store, workers and nodes."""
+    """A store with workers and nodes.
+
+    :ivar folder: holds the settings files of the nodes.
+    :ivar model: state of the store.
+    :ivar store: HTTP server of the store.
+    :ivar workers: by ID.
+    :ivar nodes: by name.
+    :ivar addresses: ``HOST:PORT`` for callers, by node name.
+    :ivar readiness: ``HOST:PORT`` of the readiness endpoint, by node name.
+    """
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
@@ -183,69 +212,79 @@
         self.nodes: dict[str, ForwardingNode] = {}
         self.addresses: dict[str, str] = {}
         self.readiness: dict[str, str] = {}
-        self._beside: set[asyncio.Task] = set()
+        self._background_tasks: set[asyncio.Task] = set()
 
     async def start(self) -> "Site":
-        """Start the store."""
+        """Start the store and return the site."""
         await self.store.server.start()
         return self
 
     def configure(self, document: dict | None = None) -> None:
-        """Write a configuration to the store."""
+        """Write a configuration to the store; the default one if ``None``."""
         text = json.dumps(document or configuration())
         self.model.put("op/config", text.encode())
 
-    async def until_current(self, version: int, name: str = "n1") -> None:
-        """Write a configuration of a higher version, and wait until a node has it in force.
+    async def configure_and_wait(self, version: int, name: str = "n1") -> None:
+        """Write a configuration with a new version and wait until a node has it in force.
 
-        All that was written to the store before is known to the node then.
+        The node has then also received all earlier writes to the store.
         """
         self.configure(configuration(version))
         node = self.nodes[name]
-        await until(lambda: node.configuration_version() == version, "the node is current")
+        await wait_until(
+            lambda: node.configuration_version() == version, "the node has the configuration"
+        )
 
-    def name_weights(self, model: str, version: int) -> None:
-        """Name a version of a model's weights."""
+    def set_desired_version(self, model: str, version: int) -> None:
+        """Set the desired weights version of a model, and let all workers accept it."""
         for worker in self.workers.values():
-            worker.named_versions.add(version)
+            worker.accepted_versions.add(version)
         document = {"model_id": model, "version": version}
         self.model.put(f"op/version/{model}", json.dumps(document).encode())
 
     async def add_worker(self, worker: PlatformWorker, service: str) -> PlatformWorker:
-        """Start a worker and enter it in the store."""
+        """Start a worker and write its entry to the store."""
         await worker.server.start()
         self.workers[worker.id] = worker
-        self.enter(worker, service)
+        self.write_entry(worker, service)
         return worker
 
-    def enter(self, worker: PlatformWorker, service: str, state: str = "ready") -> None:
-        """Write a worker's entry."""
+    def write_entry(self, worker: PlatformWorker, service: str, state: str = "ready") -> None:
+        """Write a worker's entry to the store."""
         self.model.put(f"servers/{worker.id}", worker.entry(service, "z1", state))
 
-    def revive_after_crashes(self, worker: PlatformWorker, service: str, seconds: float) -> None:
-        """Have a worker start again under its id and address, some time after each crash."""
-        worker.on_crash = lambda crashed: self._keep(self._revive(crashed, service, seconds))
+    def restart_after_crashes(self, worker: PlatformWorker, service: str, seconds: float) -> None:
+        """Restart a worker with its ID and address after each crash.
+
+        :param seconds: delay between crash and restart.
+        """
+        worker.on_crash = lambda crashed: self._run_in_background(
+            self._restart_later(crashed, service, seconds)
+        )
 
-    async def _revive(self, worker: PlatformWorker, service: str, seconds: float) -> None:
+    async def _restart_later(self, worker: PlatformWorker, service: str, seconds: float) -> None:
         port = int(worker.server.address.rpartition(":")[2])
         await asyncio.sleep(seconds)
         worker.born += max(1, int(seconds * 1000))
         await worker.server.start(port)
-        self.enter(worker, service)
+        self.write_entry(worker, service)
 
-    def _keep(self, work: Coroutine) -> None:
-        """Run something beside the test, which ends with it."""
+    def _run_in_background(self, work: Coroutine) -> None:
+        """Run a coroutine as a task and keep a reference to the task until it is done."""
         task = asyncio.get_running_loop().create_task(work)
-        self._beside.add(task)
-        task.add_done_callback(self._beside.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def crashes(self) -> list[Run]:
-        """Return the runs under which workers ended, in order."""
-        found = [one for worker in self.workers.values() for one in worker.crashes]
-        return sorted(found, key=lambda run: run.began_at)
+        """Return the runs that made workers crash, ordered by start."""
+        crashes = [crash for worker in self.workers.values() for crash in worker.crashes]
+        return sorted(crashes, key=lambda run: run.began_at)
 
-    def settings(self, name: str, peers="", seeds=(), zone="z1", **bounds) -> pathlib.Path:
-        """Write a node's settings file."""
+    def write_settings(self, name: str, peers="", seeds=(), zone="z1", **bounds) -> pathlib.Path:
+        """Write a node's settings file and return its path.
+
+        :param bounds: settings of the section ``bounds``.
+        """
         lines = [f"{key} = {json.dumps(value)}" for key, value in bounds.items()]
         path = self.folder / f"{name}.toml"
         path.write_text(
@@ -260,7 +299,7 @@
         """Start a node in this event loop."""
         self.addresses[name] = f"127.0.0.1:{free_port()}"
         self.readiness[name] = f"127.0.0.1:{free_port()}"
-        self.settings(name, **bounds)
+        self.write_settings(name, **bounds)
         self.nodes[name] = node = self._make_node(name)
         await node.start()
         return node
@@ -275,63 +314,68 @@
         )
 
     async def restart_node(self, name: str) -> ForwardingNode:
-        """Stop a node, and start another process of it with the same settings file."""
+        """Stop a node and start it again with the same settings file."""
         await self.nodes[name].stop()
         self.nodes[name] = node = self._make_node(name)
         await node.start()
         return node
 
     async def add_relays(self, zones: tuple[str, ...], **bounds) -> None:
-        """Start a node in each zone, named like it, and wait until each is its zone's relay."""
+        """Start a node per zone, named like the zone, and wait until it is the zone's relay."""
         seed = f"127.0.0.1:{free_port()}"
         for zone in zones:
             peers = seed if zone == zones[0] else f"127.0.0.1:{free_port()}"
             await self.add_node(zone, peers=peers, seeds=[seed], zone=zone, **bounds)
         for zone in zones:
-            await self.ready(zone)
+            await self.wait_until_ready(zone)
             node = self.nodes[zone]
-            await until(lambda node=node: len(node.relay_addresses()) == len(zones), "all relays")
+            await wait_until(
+                lambda node=node: len(node.relay_addresses()) == len(zones), "all relays"
+            )
 
     async def add_nodes(self, zones: tuple[str, ...]) -> None:
-        """Start a node in each zone, named like it, and wait until all are ready."""
+        """Start a node per zone, named like the zone, and wait until all are ready."""
         if len(zones) > 1:
             await self.add_relays(zones)
         else:
             await self.add_node(zones[0])
         for zone in zones:
-            await self.ready(zone)
+            await self.wait_until_ready(zone)
 
-    def cut_from_store(self, name: str) -> None:
-        """Give one node an address of the store at which nothing answers."""
-        self.lead_to_store(name, "127.0.0.1:9")
+    def disconnect_from_store(self, name: str) -> None:
+        """Replace a node's store address by one on which nothing listens."""
+        self.set_store_address(name, "127.0.0.1:9")
 
-    def lead_to_store(self, name: str, address: str) -> None:
-        """Give one node another address of the store, such as that of a fault proxy."""
+    def set_store_address(self, name: str, address: str) -> None:
+        """Replace a node's store address, for example by that of a fault proxy."""
         path = self.folder / f"{name}.toml"
         path.write_text(path.read_text().replace(self.store.server.address, address))
         self.nodes[name].reload()
 
-    async def ready(self, name: str = "n1") -> None:
-        """Wait until a node is ready and knows all workers."""
+    async def wait_until_ready(self, name: str = "n1") -> None:
+        """Wait until a node is ready and has discovered all workers."""
         expected = set(self.workers)
         node = self.nodes[name]
-        await until(lambda: node.is_ready() and expected <= node.worker_ids(), "node ready")
+        await wait_until(lambda: node.is_ready() and expected <= node.worker_ids(), "node ready")
 
-    async def caller(self, name: str = "n1") -> Caller:
-        """Connect a caller to a node."""
+    async def connect(self, name: str = "n1") -> Caller:
+        """Open a connection to a node."""
         return await Caller.connect(self.addresses[name])
 
-    async def ask(self, path: str, request_id: str, name: str = "n1", **options) -> Answer:
-        """Send one request on a connection of its own and return its answer."""
-        caller = await self.caller(name)
+    async def request(self, path: str, request_id: str, name: str = "n1", **options) -> Response:
+        """Send one request on a new connection and return the response.
+
+        :param options: further arguments of :meth:`Caller.send`.
+        """
+        caller = await self.connect(name)
         caller.send(path, request_id, **options)
         try:
-            return await asyncio.wait_for(caller.answer(), PATIENCE_SECONDS)
+            return await asyncio.wait_for(caller.read_response(), WAIT_TIMEOUT_SECONDS)
         finally:
-            caller.leave()
+            caller.abort()
 
     def runs(self, request_id: str) -> list:
-        """Return the runs of a request at all workers."""
+        """Return all runs of a request, at any worker."""
         return [
             run
             for worker in self.workers.values()
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,7 +1,8 @@
-"""Stand-in of the platform's metadata store, after the published PROTOCOL page.
+"""Stand-in for the platform's metadata store.
 
-The model is pure (clock injected), so that it runs in virtual time too; the server puts it
-on a socket and adds faults: outages, throttling, answers lost or done late, history lost.
+:class:`PlatformStoreModel` implements the store without I/O and with an injected clock, so that
+it also runs in virtual time. :class:`PlatformStoreServer` serves it over HTTP and adds faults:
+error statuses for every call, and transactions whose response is lost.
 """
 
 import asyncio
@@ -11,47 +12,55 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from standins.asyncio_http import Exchange, StandInRequest, StandInServer
+from standins.asyncio_http import ServerConnection, StandInRequest, StandInServer
 
 PAGE_ITEMS = 50
+"""Maximum number of items in one page of a range read."""
 
 
 @dataclass
 class StoredItem:
-    """One item as it was last written."""
+    """Current state of one key.
+
+    :ivar revision: of the latest write.
+    :ivar created_revision: of the first write since the key last did not exist.
+    :ivar lease: ID of the lease that the key is attached to; 0 for none.
+    """
 
     key: str
     value: bytes
     revision: int
-    made: int
+    created_revision: int
     lease: int = 0
 
     def document(self) -> dict:
-        """Return the item as it goes over the wire."""
+        """Return the item's JSON representation in the store's protocol."""
         return {
             "tls_key": self.key,
             "payload": base64.b64encode(self.value).decode(),
             "revision": self.revision,
-            "made": self.made,
+            "made": self.created_revision,
             "lease": self.lease,
         }
 
 
 @dataclass
 class _Lease:
-    seconds: float
-    ends_at: float
+    ttl_seconds: float
+    expires_at: float
 
 
-class HistoryGone(Exception):
-    """The revisions asked for are no longer kept."""
+class HistoryCompacted(Exception):
+    """Raised when changes are requested that have been removed by compaction."""
 
 
 @dataclass
 class PlatformStoreModel:
-    """Items, history and leases.
+    """State of the store: items, change history and leases.
 
-    :ivar clock: seconds.
+    :ivar clock: returns monotonic seconds.
+    :ivar items: by key.
+    :ivar revision: of the latest change.
     """
 
     clock: Callable[[], float]
@@ -60,166 +69,180 @@
 
     def __post_init__(self):
         self._history: list[dict] = []
-        self._oldest_kept = 0
+        self._compacted_revision = 0
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write one key, as operators and workers do."""
+        """Write one key without the checks of a transaction, as operators and workers do.
+
+        :return: the new revision.
+        """
         self.revision += 1
-        known = self.items.get(key)
-        made = known.made if known else self.revision
-        self.items[key] = StoredItem(key, value, self.revision, made, lease)
+        existing = self.items.get(key)
+        created_revision = existing.created_revision if existing else self.revision
+        self.items[key] = StoredItem(key, value, self.revision, created_revision, lease)
         self._history.append(self.items[key].document())
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove one key."""
+        """Remove one key if it exists."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
             self._history.append({"tls_key": key, "revision": self.revision, "gone": True})
 
     def changes_after(self, prefix: str, after: int) -> list[dict]:
-        """Return changes under a prefix.
+        """Return the changes of keys with a prefix, oldest first.
 
-        :raises HistoryGone: when some may be missing.
+        :param after: revision; only later changes are returned.
+        :raises HistoryCompacted: if the history since this revision is incomplete.
         """
-        self.expire()
-        if after < self._oldest_kept:
-            raise HistoryGone
+        self.expire_leases()
+        if after < self._compacted_revision:
+            raise HistoryCompacted
         return [
-            one
-            for one in self._history
-            if one["revision"] > after and one["tls_key"].startswith(prefix)
+            change
+            for change in self._history
+            if change["revision"] > after and change["tls_key"].startswith(prefix)
         ]
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Remove the history up to the current revision."""
         self._history.clear()
-        self._oldest_kept = self.revision
+        self._compacted_revision = self.revision
 
     def transact(self, document: dict) -> tuple[int, dict]:
-        """Do all or nothing; return status and body."""
-        self.expire()
+        """Execute a transaction atomically.
+
+        :return: HTTP status and body of the response.
+        """
+        self.expire_leases()
         expected = document.get("expected_rev", [])
-        for row in expected:
-            item = self.items.get(row["tls_key"])
-            if (item.revision if item else 0) != row["revision"]:
-                found = [self.items.get(one["tls_key"]) for one in expected]
-                return 412, {"items": [one.document() for one in found if one]}
+        for condition in expected:
+            item = self.items.get(condition["tls_key"])
+            if (item.revision if item else 0) != condition["revision"]:
+                current_items = [self.items.get(row["tls_key"]) for row in expected]
+                return 412, {"items": [item.document() for item in current_items if item]}
         puts = document.get("put", [])
-        if any(one.get("lease") and one["lease"] not in self._leases for one in puts):
+        if any(put.get("lease") and put["lease"] not in self._leases for put in puts):
             return 404, {"error": "no such lease"}
-        keys = [one["tls_key"] for one in puts] + document.get("remove", [])
+        keys = [put["tls_key"] for put in puts] + document.get("remove", [])
         if any(key.startswith(("op/", "servers/")) for key in keys):
             return 403, {"error": "not the system's to write"}
-        for one in puts:
-            self.put(one["tls_key"], base64.b64decode(one["payload"]), one.get("lease", 0))
+        for put in puts:
+            self.put(put["tls_key"], base64.b64decode(put["payload"]), put.get("lease", 0))
         for key in document.get("remove", []):
             self.remove(key)
         return 200, {"revision": self.revision}
 
-    def grant(self, seconds: float) -> int:
-        """Grant a lease."""
+    def grant_lease(self, seconds: float) -> int:
+        """Grant a lease.
+
+        :param seconds: time to live.
+        :return: ID of the lease.
+        """
         lease = next(self._lease_ids)
         self._leases[lease] = _Lease(seconds, self.clock() + seconds)
         return lease
 
-    def keep(self, lease: int) -> bool:
-        """Renew a lease."""
-        self.expire()
+    def renew_lease(self, lease: int) -> bool:
+        """Renew a lease; return whether it exists."""
+        self.expire_leases()
         if lease not in self._leases:
             return False
-        self._leases[lease].ends_at = self.clock() + self._leases[lease].seconds
+        self._leases[lease].expires_at = self.clock() + self._leases[lease].ttl_seconds
         return True
 
-    def end(self, lease: int) -> None:
-        """End a lease with its keys."""
+    def revoke_lease(self, lease: int) -> None:
+        """Revoke a lease and remove the keys attached to it."""
         if self._leases.pop(lease, None) is None:
             return
-        for key in [one.key for one in self.items.values() if one.lease == lease]:
+        for key in [item.key for item in self.items.values() if item.lease == lease]:
             self.remove(key)
 
-    def expire(self) -> None:
-        """End the leases whose time is over."""
+    def expire_leases(self) -> None:
+        """Revoke the leases whose time to live has elapsed."""
         now = self.clock()
-        for lease in [one for one, state in self._leases.items() if state.ends_at <= now]:
-            self.end(lease)
+        for lease in [key for key, state in self._leases.items() if state.expires_at <= now]:
+            self.revoke_lease(lease)
 
 
 class PlatformStoreServer:
-    """The store on a socket.
+    """HTTP server for a store, with faults.
 
-    :ivar refuse: status given to every call while set, such as 503 or 429.
-    :ivar lose_answers: number of transactions whose answer is lost after they were done.
-    :ivar calls: (method, path) of each call.
+    :ivar error_status: HTTP status returned for every call while non-zero, such as 503 or 429.
+    :ivar lose_responses: number of further transactions that are executed but whose connection
+        is reset before the response.
+    :ivar calls: method and path of each received call.
     """
 
     def __init__(self, model: PlatformStoreModel):
         self.model = model
         self.server = StandInServer(self._handle)
-        self.refuse = 0
-        self.lose_answers = 0
+        self.error_status = 0
+        self.lose_responses = 0
         self.calls: list[tuple[str, str]] = []
 
-    async def _handle(self, request: StandInRequest, exchange: Exchange) -> None:
+    async def _handle(self, request: StandInRequest, connection: ServerConnection) -> None:
         self.calls.append((request.method, request.path))
-        if self.refuse:
-            self._send(exchange, self.refuse, {"error": "refused"})
+        if self.error_status:
+            self._send(connection, self.error_status, {"error": "refused"})
             return
         name = request.path.strip("/").split("/")[0]
         if name == "kv-watch":
-            await self._watch(request, exchange)
+            await self._handle_watch(request, connection)
         elif name == "kv-range":
-            self._send(exchange, 200, self._range(request.query))
+            self._send(connection, 200, self._read_range(request.query))
         elif name == "kv-txn":
             status, body = self.model.transact(json.loads(request.body))
-            if self.lose_answers:
-                self.lose_answers -= 1
-                exchange.reset()
+            if self.lose_responses:
+                self.lose_responses -= 1
+                connection.reset()
                 return
-            self._send(exchange, status, body)
+            self._send(connection, status, body)
         else:
-            self._lease_call(name, request, exchange)
+            self._handle_lease(name, request, connection)
 
-    def _lease_call(self, name: str, request: StandInRequest, exchange: Exchange) -> None:
+    def _handle_lease(
+        self, name: str, request: StandInRequest, connection: ServerConnection
+    ) -> None:
         if name == "kv-lease":
-            milliseconds = json.loads(request.body)["ttl_ms"]
-            lease = self.model.grant(milliseconds / 1000)
-            self._send(exchange, 200, {"lease": lease, "ttl_ms": milliseconds})
+            ttl_ms = json.loads(request.body)["ttl_ms"]
+            lease = self.model.grant_lease(ttl_ms / 1000)
+            self._send(connection, 200, {"lease": lease, "ttl_ms": ttl_ms})
             return
         lease = int(request.path.rpartition("/")[2])
         if name == "kv-keep":
-            kept = self.model.keep(lease)
-            self._send(exchange, 200 if kept else 404, {"ttl_ms": 1000})
+            renewed = self.model.renew_lease(lease)
+            self._send(connection, 200 if renewed else 404, {"ttl_ms": 1000})
             return
-        self.model.end(lease)
-        self._send(exchange, 200, {})
+        self.model.revoke_lease(lease)
+        self._send(connection, 200, {})
 
-    def _range(self, query: dict[str, str]) -> dict:
-        self.model.expire()
+    def _read_range(self, query: dict[str, str]) -> dict:
+        self.model.expire_leases()
         prefix, after = query.get("path_prefix", ""), query.get("after", "")
         keys = sorted(key for key in self.model.items if key.startswith(prefix) and key > after)
         page = [self.model.items[key].document() for key in keys[:PAGE_ITEMS]]
         return {"items": page, "more": len(keys) > PAGE_ITEMS, "at": self.model.revision}
 
-    async def _watch(self, request: StandInRequest, exchange: Exchange) -> None:
+    async def _handle_watch(self, request: StandInRequest, connection: ServerConnection) -> None:
         prefix, after = request.query.get("path_prefix", ""), int(request.query["after"])
-        ends_at = self.model.clock() + int(request.query["wait_ms"]) / 1000
+        deadline = self.model.clock() + int(request.query["wait_ms"]) / 1000
         while True:
             try:
                 changes = self.model.changes_after(prefix, after)
-            except HistoryGone:
-                self._send(exchange, 410, {"error": "history gone"})
+            except HistoryCompacted:
+                self._send(connection, 410, {"error": "history gone"})
                 return
-            if self.refuse:
-                exchange.reset()
+            if self.error_status:
+                connection.reset()
                 return
-            if changes or self.model.clock() >= ends_at:
-                self._send(exchange, 200, {"changes": changes, "at": self.model.revision})
+            if changes or self.model.clock() >= deadline:
+                self._send(connection, 200, {"changes": changes, "at": self.model.revision})
                 return
             await asyncio.sleep(0.005)
 
-    def _send(self, exchange: Exchange, status: int, document: dict) -> None:
+    def _send(self, connection: ServerConnection, status: int, document: dict) -> None:
         headers = [("Content-Type", "application/json")]
-        exchange.answer(status, headers, json.dumps(document).encode())
+        connection.send_response(status, headers, json.dumps(document).encode())
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -1,7 +1,8 @@
-"""Stand-in of a model or plain worker, after the published PROTOCOL page.
+"""Stand-in for a worker of the platform, with or without a model.
 
-It runs one request for a fixed time, streams numbered events, takes orders, and misbehaves
-as told: :class:`WorkerFaults`. What it ran is kept in :attr:`PlatformWorker.runs`.
+It processes each request for a fixed time, streams numbered events, executes orders to load
+weights and injects the faults set in :class:`WorkerFaults`. The requests that it processed are
+recorded in :attr:`PlatformWorker.runs`.
 """
 
 import asyncio
@@ -11,36 +12,36 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from standins.asyncio_http import Exchange, StandInRequest, StandInServer
+from standins.asyncio_http import ServerConnection, StandInRequest, StandInServer
 
 
 @dataclass
 class WorkerFaults:
-    """How a worker misbehaves; all off by default.
-
-    :ivar shed: answer 503 not executed to this many requests.
-    :ivar lose_answer: run this many requests and break the connection off.
-    :ivar break_after: break a stream off in the middle of the event after this id.
-    :ivar surplus_after: send a second answer after a whole one.
-    :ivar foreign_first: send another request's answer before one's own.
-    :ivar unframed: answer without a length and end with the connection.
-    :ivar early_status: answer so before the body was read, and keep the connection.
-    :ivar unsigned: leave the signature out.
-    :ivar ignore_orders: take orders without an answer.
-    :ivar status: answer plain requests so, as the worker's own failure.
-    :ivar crash_on: begin a request with this in its body, and the process ends.
-    :ivar crash_tenant: only for this tenant; empty for all.
-    :ivar crash_after: a stream has that many events before the process ends.
-    :ivar rest: asked for in answers that turn requests away, as it is written; empty for none.
-    :ivar hides_not_run: such an answer does not say that the request was not run.
-    :ivar shed_while: requests are turned away while so many are under way; 0 for never.
+    """Faults of a worker; all are off by default.
+
+    :ivar shed: number of further requests to reject with status 503.
+    :ivar lose_responses: number of further requests after whose start the connection is reset.
+    :ivar break_after: reset the connection in the middle of the stream event after this ID.
+    :ivar extra_response: send a second response after a complete one.
+    :ivar foreign_response_first: send the response of another request before the right one.
+    :ivar unframed: send responses without a length, which end when the connection is closed.
+    :ivar unsigned: omit the signature header.
+    :ivar ignore_orders: number of further orders after which the connection is reset without a
+        response.
+    :ivar status: HTTP status of responses to non-streaming requests.
+    :ivar crash_on: crash when a request with these bytes in its body starts; empty for never.
+    :ivar crash_tenant: crash only for requests of this tenant; empty for all.
+    :ivar crash_after: number of events that a stream delivers before the crash.
+    :ivar retry_after: value of the ``Retry-After`` header of rejections; empty to omit it.
+    :ivar omit_not_executed: omit the header that reports a rejected request as not executed.
+    :ivar max_running: reject requests while this many are running; 0 for no limit.
     """
 
     shed: int = 0
-    lose_answer: int = 0
+    lose_responses: int = 0
     break_after: int | None = None
-    surplus_after: bool = False
-    foreign_first: bool = False
+    extra_response: bool = False
+    foreign_response_first: bool = False
     unframed: bool = False
     unsigned: bool = False
     ignore_orders: int = 0
@@ -48,9 +49,9 @@
     crash_on: bytes = b""
     crash_tenant: str = ""
     crash_after: int = 0
-    rest: str = ""
-    hides_not_run: bool = False
-    shed_while: int = 0
+    retry_after: str = ""
+    omit_not_executed: bool = False
+    max_running: int = 0
 
 
 def worker_entry(
@@ -63,10 +64,10 @@
     version: int = 1,
     born: int | None = None,
 ) -> bytes:
-    """Return an entry of the store, whole, as a worker writes it.
+    """Return the value that a worker writes to its key in the store.
 
-    :param version: of the model's weights.
-    :param born: Unix millisecond of the worker's start; ``None`` for one that tells none.
+    :param version: of the model's weights; ignored without a model.
+    :param born: start of the worker, in milliseconds of Unix time; ``None`` to omit it.
     """
     document = {
         "service": service,
@@ -87,9 +88,12 @@
 
 @dataclass
 class Run:
-    """One request that began to run.
+    """A request that a worker has started to process.
 
-    :ivar began_at: seconds of the steady clock.
+    :ivar version: weights version of the worker at the start.
+    :ivar closed_early: the connection was closed by its client before the end.
+    :ivar ended: processing has ended without a crash.
+    :ivar began_at: in seconds of the monotonic clock.
     """
 
     request_id: str
@@ -100,34 +104,48 @@
     began_at: float = field(default_factory=time.monotonic)
 
 
-class RestAsked(NamedTuple):
-    """An answer that turned a request away and asked for rest.
+class BackoffRequest(NamedTuple):
+    """A rejection that requested a backoff.
 
-    :ivar at: seconds of the steady clock.
-    :ivar seconds: as it was written.
+    :ivar sent_at: in seconds of the monotonic clock.
+    :ivar retry_after: value of the ``Retry-After`` header.
     """
 
     request_id: str
-    at: float
-    seconds: str
+    sent_at: float
+    retry_after: str
 
 
 @dataclass
 class PlatformWorker:
-    """One incarnation.
-
-    :ivar seconds: how long a request runs; a stream pauses that long before each event.
-    :ivar load_seconds: how long new weights take.
-    :ivar arrivals: id and moment of each request that reached it, run or shed; neither reports
-        and orders nor requests for another instance or version.
-    :ivar born: Unix millisecond of its start, told in all that it says of itself; ``None`` for
-        a worker that tells none.
-    :ivar deadly: the same as ``faults.crash_on``, whatever its faults are at the time.
-    :ivar says_leaving: it says in all its answers that it leaves, whatever its entry says.
-    :ivar limit: requests a second that it names in all its answers, as it is written; empty for
-        none.
-    :ivar rests: the answers that asked for rest.
-    :ivar on_crash: called once the process has ended, for whoever starts it again.
+    """A worker with its HTTP server.
+
+    :ivar model: empty for a worker without a model, which does not stream.
+    :ivar version: of the loaded weights.
+    :ivar events: number of events in a complete stream.
+    :ivar seconds: processing time of a request, or the delay before each event of a stream.
+    :ivar load_seconds: time to load other weights.
+    :ivar accepted_versions: weights versions that it loads when ordered to.
+    :ivar born: start of the worker, in milliseconds of Unix time, included in its entry and
+        reports; ``None`` to omit it.
+    :ivar crash_on: like ``faults.crash_on``, which it overrides unless it is empty.
+    :ivar announces_leaving: send the header that announces the worker's departure in every
+        response.
+    :ivar announced_limit: value of the header that announces a limit in requests per second,
+        sent in every response; empty to omit it.
+    :ivar on_crash: called with the worker after it has terminated.
+    :ivar runs: the requests that it started to process.
+    :ivar crashes: the runs that made it crash.
+    :ivar arrivals: ID and time (monotonic seconds) of each request, processed or rejected;
+        without reports, orders and requests for another worker or weights version.
+    :ivar backoff_requests: the rejections that requested a backoff.
+    :ivar running: number of requests being processed.
+    :ivar orders: the orders that passed all checks.
+    :ivar order_times: time of each of these orders, in monotonic seconds.
+    :ivar sequence: number of weights loads started so far.
+    :ivar highest_fence: highest fencing token received in an order.
+    :ivar refused_fences: fencing tokens of the orders refused as stale.
+    :ivar busy: it is loading weights.
     """
 
     id: str
@@ -137,11 +155,11 @@
     seconds: float = 0.0
     load_seconds: float = 0.05
     faults: WorkerFaults = field(default_factory=WorkerFaults)
-    named_versions: set[int] = field(default_factory=lambda: {1})
+    accepted_versions: set[int] = field(default_factory=lambda: {1})
     born: int | None = None
-    deadly: bytes = b""
-    says_leaving: bool = False
-    limit: str = ""
+    crash_on: bytes = b""
+    announces_leaving: bool = False
+    announced_limit: str = ""
     on_crash: Callable[["PlatformWorker"], None] = lambda worker: None
 
     def __post_init__(self):
@@ -149,15 +167,15 @@
         self.runs: list[Run] = []
         self.crashes: list[Run] = []
         self.arrivals: list[tuple[str, float]] = []
-        self.rests: list[RestAsked] = []
+        self.backoff_requests: list[BackoffRequest] = []
         self.running = 0
         self.orders: list[dict] = []
-        self.ordered_at: list[float] = []
+        self.order_times: list[float] = []
         self.sequence = 0
         self.highest_fence = 0
         self.refused_fences: list[int] = []
         self.busy = False
-        self._loading: set[asyncio.Task] = set()
+        self._load_tasks: set[asyncio.Task] = set()
 
     def entry(self, service: str, zone: str, state: str = "ready", capacity: int = 8) -> bytes:
         """Return the worker's entry in the store."""
@@ -172,87 +190,89 @@
             self.born,
         )
 
-    async def _handle(self, request: StandInRequest, exchange: Exchange) -> None:
+    async def _handle(self, request: StandInRequest, connection: ServerConnection) -> None:
         expected = request.headers.get("wheelslip-expect-instance", self.id)
         version = request.headers.get("wheelslip-expect-version", str(self.version))
         if expected != self.id or (self.model and version != str(self.version)):
-            self._answer(exchange, request, 421, b"")
+            self._respond(connection, request, 421, b"")
             return
         if request.path == "/report":
-            self._report(exchange)
+            self._send_report(connection)
             return
         if request.path == "/order":
-            self._order(json.loads(request.body), exchange)
+            self._handle_order(json.loads(request.body), connection)
             return
         request_id = request.headers.get("wheelslip-request-id", "")
         self.arrivals.append((request_id, time.monotonic()))
         if self.faults.shed or self.busy or self._is_full():
             self.faults.shed = max(0, self.faults.shed - 1)
-            self._turn_away(request, exchange)
+            self._reject(request, connection)
             return
         self.running += 1
         try:
-            await self._run(request, exchange)
+            await self._run(request, connection)
         finally:
             self.running -= 1
 
     def _is_full(self) -> bool:
-        return 0 < self.faults.shed_while <= self.running
+        return 0 < self.faults.max_running <= self.running
 
-    def _turn_away(self, request: StandInRequest, exchange: Exchange) -> None:
-        headers = [] if self.faults.hides_not_run else [("Wheelslip-Not-Executed", "1")]
-        if self.faults.rest:
-            headers.append(("Retry-After", self.faults.rest))
+    def _reject(self, request: StandInRequest, connection: ServerConnection) -> None:
+        headers = [] if self.faults.omit_not_executed else [("Wheelslip-Not-Executed", "1")]
+        if self.faults.retry_after:
+            headers.append(("Retry-After", self.faults.retry_after))
             request_id = request.headers.get("wheelslip-request-id", "")
-            self.rests.append(RestAsked(request_id, time.monotonic(), self.faults.rest))
-        self._answer(exchange, request, 503, b"", headers)
-
-    def _of_itself(self) -> list[tuple[str, str]]:
-        """Return what it says of itself in every answer."""
-        headers = [("Server-Leaving", "1")] if self.says_leaving else []
-        if self.limit:
-            headers.append(("Server-Limit", self.limit))
+            self.backoff_requests.append(
+                BackoffRequest(request_id, time.monotonic(), self.faults.retry_after)
+            )
+        self._respond(connection, request, 503, b"", headers)
+
+    def _announcement_headers(self) -> list[tuple[str, str]]:
+        """Return the headers that announce departure and rate limit in every response."""
+        headers = [("Server-Leaving", "1")] if self.announces_leaving else []
+        if self.announced_limit:
+            headers.append(("Server-Limit", self.announced_limit))
         return headers
 
-    async def _run(self, request: StandInRequest, exchange: Exchange) -> None:
+    async def _run(self, request: StandInRequest, connection: ServerConnection) -> None:
         run = Run(request.headers.get("wheelslip-request-id", ""), request, self.version)
         self.runs.append(run)
-        if self.faults.lose_answer:
-            self.faults.lose_answer -= 1
-            exchange.reset()
+        if self.faults.lose_responses:
+            self.faults.lose_responses -= 1
+            connection.reset()
             return
-        if self._crashes_under(run) and not self.faults.crash_after:
+        if self._triggers_crash(run) and not self.faults.crash_after:
             await self._crash(run)
             return
-        exchange.watch_for_close()
+        connection.watch_for_close()
         if self.model:
-            await self._stream(run, exchange)
+            await self._send_stream(run, connection)
         else:
-            await self._plain(run, exchange)
-        await exchange.stop_watching()
+            await self._send_plain(run, connection)
+        await connection.stop_watching()
         run.ended = True
 
-    def _crashes_under(self, run: Run) -> bool:
+    def _triggers_crash(self, run: Run) -> bool:
         tenant = run.request.headers.get("wheelslip-tenant-id", "")
         if self.faults.crash_tenant not in ("", tenant):
             return False
-        marker = self.deadly or self.faults.crash_on
+        marker = self.crash_on or self.faults.crash_on
         return bool(marker) and marker in run.request.body
 
     async def _crash(self, run: Run) -> None:
         self.crashes.append(run)
-        await self.end()
+        await self.terminate()
 
-    async def end(self) -> None:
-        """End as a process does: nothing listens any more and all connections break."""
+    async def terminate(self) -> None:
+        """Terminate like a killed process: stop listening and abort all connections."""
         await self.server.stop()
         self.on_crash(self)
 
-    async def _wait(self, run: Run, exchange: Exchange) -> bool:
-        """Work for a while; return whether the caller is still there."""
+    async def _wait(self, run: Run, connection: ServerConnection) -> bool:
+        """Wait for the processing time; return whether the client is still connected."""
         try:
             async with asyncio.timeout(self.seconds or 0.001):
-                await exchange.closed.wait()
+                await connection.closed.wait()
         except TimeoutError:
             return True
         run.closed_early = True
@@ -264,46 +284,46 @@
             headers.append(("Wheelslip-Response-Signature", f"sig-{self.id}-{request_id}"))
         if self.model:
             headers.append(("Wheelslip-Weight-Versions", str(self.version)))
-        return headers + self._of_itself()
+        return headers + self._announcement_headers()
 
-    async def _plain(self, run: Run, exchange: Exchange) -> None:
-        if not await self._wait(run, exchange):
+    async def _send_plain(self, run: Run, connection: ServerConnection) -> None:
+        if not await self._wait(run, connection):
             return
         body = f"answer of {self.id} to {run.request_id}".encode()
-        if self.faults.foreign_first:
-            foreign = b"not yours"
-            exchange.raw(_raw_answer(200, [*self._headers("another")], foreign))
+        if self.faults.foreign_response_first:
+            foreign_body = b"not yours"
+            connection.send_raw(_raw_response(200, [*self._headers("another")], foreign_body))
         if self.faults.unframed:
             head = _raw_head(200, self._headers(run.request_id))
-            exchange.raw(head + body)
-            exchange.close()
+            connection.send_raw(head + body)
+            connection.close()
             return
-        exchange.answer(self.faults.status, self._headers(run.request_id), body)
-        if self.faults.surplus_after:
-            exchange.raw(_raw_answer(200, self._headers("another"), b"surplus"))
+        connection.send_response(self.faults.status, self._headers(run.request_id), body)
+        if self.faults.extra_response:
+            connection.send_raw(_raw_response(200, self._headers("another"), b"surplus"))
 
-    async def _stream(self, run: Run, exchange: Exchange) -> None:
+    async def _send_stream(self, run: Run, connection: ServerConnection) -> None:
         first = int(run.request.headers.get("last-event-id", "0")) + 1
         headers = [*self._headers(run.request_id), ("Content-Type", "text/event-stream")]
-        exchange.start(200, [*headers, ("Transfer-Encoding", "chunked")])
+        connection.send_head(200, [*headers, ("Transfer-Encoding", "chunked")])
         for number in range(first, self.events + 1):
-            if not await self._wait(run, exchange):
+            if not await self._wait(run, connection):
                 return
             if self.faults.break_after is not None and number > self.faults.break_after:
-                exchange.data(f"id: {number}\ndata: t".encode())
+                connection.send_body(f"id: {number}\ndata: t".encode())
                 await asyncio.sleep(0.02)
-                exchange.reset()
+                connection.reset()
                 return
-            if self._crashes_under(run) and number > self.faults.crash_after:
+            if self._triggers_crash(run) and number > self.faults.crash_after:
                 await asyncio.sleep(0.02)
                 await self._crash(run)
                 return
-            exchange.data(f"id: {number}\ndata: token {number}\n\n".encode())
-        exchange.end()
+            connection.send_body(f"id: {number}\ndata: token {number}\n\n".encode())
+        connection.end_response()
 
-    def _answer(
+    def _respond(
         self,
-        exchange: Exchange,
+        connection: ServerConnection,
         request: StandInRequest,
         status: int,
         body: bytes,
@@ -313,9 +333,11 @@
         headers = [("Wheelslip-Request-Id", request_id), ("Wheelslip-Instance-Id", self.id)]
         if self.model:
             headers.append(("Wheelslip-Weight-Versions", str(self.version)))
-        exchange.answer(status, [*headers, *self._of_itself(), *(extra or [])], body)
+        connection.send_response(
+            status, [*headers, *self._announcement_headers(), *(extra or [])], body
+        )
 
-    def _report(self, exchange: Exchange) -> None:
+    def _send_report(self, connection: ServerConnection) -> None:
         document = {
             "phase": "unified",
             "model_ids": [{"name": self.model, "version": self.version, "lora_adapters": []}],
@@ -329,18 +351,18 @@
         }
         if self.born is not None:
             document["born"] = self.born
-        headers = [("Content-Type", "application/json"), *self._of_itself()]
-        exchange.answer(200, headers, json.dumps(document).encode())
+        headers = [("Content-Type", "application/json"), *self._announcement_headers()]
+        connection.send_response(200, headers, json.dumps(document).encode())
 
-    def _order(self, order: dict, exchange: Exchange) -> None:
-        status = self._take_order(order)
+    def _handle_order(self, order: dict, connection: ServerConnection) -> None:
+        status = self._apply_order(order)
         if self.faults.ignore_orders:
             self.faults.ignore_orders -= 1
-            exchange.reset()
+            connection.reset()
             return
-        exchange.answer(status, self._of_itself(), b"")
+        connection.send_response(status, self._announcement_headers(), b"")
 
-    def _take_order(self, order: dict) -> int:
+    def _apply_order(self, order: dict) -> int:
         if "holder" not in order or "fence" not in order:
             return 400
         if order["fence"] < self.highest_fence:
@@ -349,20 +371,20 @@
         self.highest_fence = order["fence"]
         if self.busy or order.get("expected_rev", self.sequence) != self.sequence:
             return 409
-        if order["version"] not in self.named_versions:
+        if order["version"] not in self.accepted_versions:
             return 400
         self.orders.append(order)
-        self.ordered_at.append(time.monotonic())
+        self.order_times.append(time.monotonic())
         if order["version"] == self.version:
             return 200
         self.sequence += 1
         self.busy = True
-        task = asyncio.get_running_loop().create_task(self._load(order["version"]))
-        self._loading.add(task)
-        task.add_done_callback(self._loading.discard)
+        task = asyncio.get_running_loop().create_task(self._load_weights(order["version"]))
+        self._load_tasks.add(task)
+        task.add_done_callback(self._load_tasks.discard)
         return 202
 
-    async def _load(self, version: int) -> None:
+    async def _load_weights(self, version: int) -> None:
         await asyncio.sleep(self.load_seconds)
         self.version = version
         self.busy = False
@@ -373,5 +395,5 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def _raw_answer(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def _raw_response(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
     return _raw_head(status, [*headers, ("Content-Length", str(len(body)))]) + body
