--- a/bench/forwarding_callers.py
+++ b/bench/forwarding_callers.py
@@ -13,7 +13,7 @@
 from bench.forwarding_judge import Judge
 from bench.forwarding_record import Call
 from bench.forwarding_world import MODEL, World
-from standins.platform_site import Answer, Caller
+from standins.platform_site import Caller, Response
 
 CALL_SECONDS = 8.0
 """A caller that got no whole answer in this time gives up, and counts it as silence."""
@@ -66,11 +66,11 @@
                     continue
             call = await self.call(name, *self._what(), caller)
             if not call.complete or not _is_usable(caller):
-                caller.leave()
+                caller.abort()
                 caller = None
             await self._pause()
         if caller is not None:
-            caller.leave()
+            caller.abort()
 
     async def _pause(self) -> None:
         await asyncio.sleep(self._rng.uniform(0.0, PAUSE_SECONDS))
@@ -106,15 +106,15 @@
         try:
             async with asyncio.timeout(CALL_SECONDS):
                 if caller is None:
-                    answer = await world.site.ask(
+                    answer = await world.site.request(
                         path, request_id, name, key=key, body=content, **headers
                     )
                 else:
                     caller.send(path, request_id, key=key, body=content, **headers)
-                    answer = await caller.answer()
+                    answer = await caller.read_response()
             error = ""
         except (OSError, AssertionError, TimeoutError, h11.ProtocolError) as exc:
-            answer, error = Answer(0, {}, b"", False), repr(exc)
+            answer, error = Response(0, {}, b"", False), repr(exc)
         call = Call(
             name,
             request_id,
@@ -151,7 +151,7 @@
                     await asyncio.sleep(PAUSE_SECONDS)
 
 
-def _worker_of(answer: Answer, request_id: str, header: str) -> str:
+def _worker_of(answer: Response, request_id: str, header: str) -> str:
     """Return the worker that signed an answer with a header; empty for others."""
     if header not in answer.headers:
         return ""
--- a/bench/forwarding_faults.py
+++ b/bench/forwarding_faults.py
@@ -57,10 +57,10 @@
 WORKER_LINK_FAULTS = (*LINK_FAULTS, Fault.LOSE_ANSWER)
 WORKER_FAULTS = (
     WorkerFaults(shed=5),
-    WorkerFaults(lose_answer=3),
+    WorkerFaults(lose_responses=3),
     WorkerFaults(break_after=2),
-    WorkerFaults(surplus_after=True),
-    WorkerFaults(foreign_first=True),
+    WorkerFaults(extra_response=True),
+    WorkerFaults(foreign_response_first=True),
     WorkerFaults(unframed=True),
     WorkerFaults(unsigned=True),
     WorkerFaults(ignore_orders=2),
@@ -219,11 +219,11 @@
         with self._record.disrupted(Part.NODE, name):
             how = rng.choice(("refuse", "reset", "silence"))
             if how == "refuse":
-                front.refuse = 503
+                front.error_status = 503
             else:
                 link.fault = Fault.REFUSE if how == "reset" else Fault.BLACKHOLE
             await self._last(rng, TURN_AWAY_SECONDS)
-            front.refuse = 0
+            front.error_status = 0
             link.fault = Fault.PASS
         self._turned_away.discard(name)
 
@@ -243,20 +243,20 @@
         with self._record.disrupted(Part.CORE):
             status = rng.choice((429, 503))
             for front in self._world.fronts.values():
-                front.refuse = status
+                front.error_status = status
             await self._last(rng)
             for front in self._world.fronts.values():
-                front.refuse = 0
+                front.error_status = 0
 
     async def _store_loses_answers(self, rng: random.Random) -> None:
         """Some transactions of any node are done and not answered."""
         with self._record.disrupted(Part.CORE):
             fronts = [self._world.fronts[self._node(rng)] for _ in range(rng.randint(1, 4))]
             for front in fronts:
-                front.lose_answers += 1
+                front.lose_responses += 1
             await self._last(rng)
             for front in fronts:
-                front.lose_answers = 0
+                front.lose_responses = 0
 
     async def _store_forgets(self, rng: random.Random) -> None:
         self._world.site.model.compact()
@@ -345,11 +345,11 @@
         engines = [one for one in self._world.site.workers.values() if one.model]
         stuck = rng.sample(engines, rng.randint(1, len(engines))) if engines else []
         for worker in stuck:
-            worker.named_versions = set(range(1, worker.version + 1))
+            worker.accepted_versions = set(range(1, worker.version + 1))
         self._world.name_weights(1)
         await self._last(rng, STAY_OLD_SECONDS)
         for worker in stuck:
-            worker.named_versions = set(FOREVER)
+            worker.accepted_versions = set(FOREVER)
 
     async def _worker_starts_again(self, rng: random.Random) -> None:
         """A worker leaves, and starts again under its id while the process before serves on."""
--- a/bench/forwarding_limits.py
+++ b/bench/forwarding_limits.py
@@ -61,7 +61,7 @@
 
     async def _strike(self, rng: random.Random, until: float) -> None:
         workers = one_or_all_of_a_service(
-            self._world, rng, WHOLE_SERVICE_SHARE, lambda one: not one.limit
+            self._world, rng, WHOLE_SERVICE_SHARE, lambda one: not one.announced_limit
         )
         for _ in range(rng.randint(1, MOST_CHANGES)):
             unreadable = rng.random() < UNREADABLE_SHARE
@@ -76,7 +76,7 @@
 
     def _name(self, worker: PlatformWorker, value: str) -> None:
         self.counts[value or "none"] += 1
-        worker.limit = value
+        worker.announced_limit = value
         self._world.record.limits.append(LimitNamed(worker, time.monotonic(), value))
 
 
--- a/bench/forwarding_notices.py
+++ b/bench/forwarding_notices.py
@@ -76,7 +76,7 @@
         if name is None:
             return
         self._faults.leaving.add(name)
-        world.site.workers[name].says_leaving = True
+        world.site.workers[name].announces_leaving = True
         if rng.random() < WRITTEN_ANEW_SHARE:
             await asyncio.sleep(rng.uniform(*LAST_SECONDS))
             world.enter(name, "ready")
@@ -104,7 +104,10 @@
         rest = rng.choice(UNREADABLE_RESTS if rng.random() < UNREADABLE_SHARE else RESTS)
         shed, full_at = rng.choice(WAYS_TO_TURN_AWAY)
         faults = WorkerFaults(
-            shed=shed, shed_while=full_at, rest=rest, hides_not_run=rng.random() < HIDES_SHARE
+            shed=shed,
+            max_running=full_at,
+            retry_after=rest,
+            omit_not_executed=rng.random() < HIDES_SHARE,
         )
         worker.faults = faults
         return worker, faults
@@ -150,24 +153,27 @@
 
     def _judge_rests(self, place: str, worker: PlatformWorker) -> None:
         """A worker that asked a node for rest has it."""
-        for rest in worker.rests:
+        for rest in worker.backoff_requests:
             asked = self._calls.get(rest.request_id)
-            if asked is None or not rest.seconds.replace(".", "").isdigit():
+            if asked is None or not rest.retry_after.replace(".", "").isdigit():
                 continue
             self.judged["rests"] += 1
-            since, until = rest.at + REST_MARGIN_SECONDS, rest.at + float(rest.seconds)
+            since, until = (
+                rest.sent_at + REST_MARGIN_SECONDS,
+                rest.sent_at + float(rest.retry_after),
+            )
             found = [
                 one
                 for one, at in worker.arrivals
                 if since < at < until
                 and one in self._calls
                 and self._calls[one].node == asked.node
-                and not self._was_struck(asked, rest.at, at, place)
+                and not self._was_struck(asked, rest.sent_at, at, place)
             ]
             if len(found) > MOST_IN_A_REST:
                 self._record.violations.append(
-                    f"BUDGET {place} asked {asked.node} for {rest.seconds} s of rest at "
-                    f"{self._record.seconds(rest.at)} s and got {', '.join(found)}"
+                    f"BUDGET {place} asked {asked.node} for {rest.retry_after} s of rest at "
+                    f"{self._record.seconds(rest.sent_at)} s and got {', '.join(found)}"
                 )
 
     def _was_struck(self, call: Call, since: float, until: float, cut: str = "") -> bool:
--- a/bench/forwarding_world.py
+++ b/bench/forwarding_world.py
@@ -198,8 +198,8 @@
         worker = PlatformWorker(name, model=model, events=EVENTS, seconds=EVENT_SECONDS)
         worker.born = round(time.time() * 1000)
         worker.version = weights
-        worker.named_versions = set(FOREVER)
-        worker.deadly = self.deadly
+        worker.accepted_versions = set(FOREVER)
+        worker.crash_on = self.deadly
         worker.on_crash = lambda ended: self.on_crash(ended)
         await worker.server.start()
         host, _, port = worker.server.address.rpartition(":")
@@ -278,7 +278,7 @@
     def reader(self) -> str | None:
         """Return the node that reads the store for all, if there is one."""
         relays = [one for key, one in self.site.model.items.items() if key.startswith(RELAY_PREFIX)]
-        first = min(relays, key=lambda one: one.made, default=None)
+        first = min(relays, key=lambda one: one.created_revision, default=None)
         return self._node_of_peer.get(first.value.decode()) if first else None
 
     async def _write_settings(self, name: str, peers: str, seed: str, zone: str) -> None:
@@ -292,7 +292,7 @@
         self.store_links[name] = link
         self._node_of_peer[peers] = name
         self._restarting[name] = asyncio.Lock()
-        path = site.settings(
+        path = site.write_settings(
             name,
             peers,
             [seed],
@@ -330,7 +330,7 @@
         """End a node's starting when it takes connections."""
         while time.monotonic() < starting.ended_at:
             try:
-                (await Caller.connect(self.site.addresses[starting.node])).leave()
+                (await Caller.connect(self.site.addresses[starting.node])).abort()
             except OSError:
                 await asyncio.sleep(LOOK_SECONDS)
             else:
--- a/scripts/forwarding_demo.py
+++ b/scripts/forwarding_demo.py
@@ -10,7 +10,7 @@
 import sys
 import tempfile
 
-from standins.platform_site import PLAIN, Site, configuration, free_port, until
+from standins.platform_site import PLAIN, Site, configuration, free_port, wait_until
 from standins.platform_worker import PlatformWorker
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
@@ -24,7 +24,7 @@
 async def _start_node(site: Site) -> asyncio.subprocess.Process:
     site.addresses["node-1"] = f"127.0.0.1:{free_port()}"
     site.readiness["node-1"] = f"127.0.0.1:{free_port()}"
-    environment = os.environ | {"WHEELSLIP_NODE_FILE": str(site.settings("node-1"))}
+    environment = os.environ | {"WHEELSLIP_NODE_FILE": str(site.write_settings("node-1"))}
     return await asyncio.create_subprocess_exec(
         sys.executable,
         str(ROOT / "deploy" / "node.py"),
@@ -37,7 +37,7 @@
     """Wait until a path is answered with a status."""
     while True:
         try:
-            if (await site.ask(path, "probe", "node-1")).status == status:
+            if (await site.request(path, "probe", "node-1")).status == status:
                 return
         except (OSError, AssertionError):
             pass
@@ -46,28 +46,28 @@
 
 async def _steps(site: Site) -> None:
     site.configure()
-    site.name_weights("model", 1)
+    site.set_desired_version("model", 1)
     await site.add_worker(PlatformWorker("plain-1"), "plain")
     engine = await site.add_worker(PlatformWorker("engine-1", model="model"), "engines")
     await _serves(site, "/plain/", 200)
     print("== a forwarded plain request")
-    answer = await site.ask("/plain/notice", "request-1", "node-1")
+    answer = await site.request("/plain/notice", "request-1", "node-1")
     print(f"   {answer.status}: {answer.body.decode()}")
     print("== a forwarded stream")
-    answer = await site.ask("/stream/match", "request-2", "node-1", **PROMPT)
+    answer = await site.request("/stream/match", "request-2", "node-1", **PROMPT)
     print(f"   {answer.status}: {answer.body.count(b'data:')} events, whole: {answer.complete}")
     print("== a new configuration moves the route")
     site.configure(configuration(2, routes=[PLAIN | {"path_prefix": "/moved/"}]))
     await _serves(site, "/moved/", 200)
     print(f"   /moved/ is served, /plain/ answers {(await _status(site, '/plain/'))}")
     print("== new weights are named")
-    site.name_weights("model", 2)
-    await until(lambda: engine.version == 2, "the engine has version 2")
+    site.set_desired_version("model", 2)
+    await wait_until(lambda: engine.version == 2, "the engine has version 2")
     print(f"   engine-1 took version 2 by order {engine.orders[0]}")
 
 
 async def _status(site: Site, path: str) -> int:
-    return (await site.ask(path, "request-3", "node-1")).status
+    return (await site.request(path, "request-3", "node-1")).status
 
 
 async def _demo(folder: pathlib.Path) -> None:
--- a/tests/probe/forwarding/test_crashing_requests.py
+++ b/tests/probe/forwarding/test_crashing_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from standins.platform_site import configuration, until
+from standins.platform_site import configuration, wait_until
 from standins.platform_worker import PlatformWorker, WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -27,11 +27,11 @@
     for number in range(workers):
         worker = PlatformWorker(f"i-{number}", model=model, born=START_TIME_MS)
         worker.faults = WorkerFaults(crash_on=CRASHING_BODY, **faults)
-        site.revive_after_crashes(worker, service, RESTART_SECONDS)
+        site.restart_after_crashes(worker, service, RESTART_SECONDS)
         await site.add_worker(worker, service)
     await site.add_nodes(zones)
     for number in range(20):
-        await site.ask("/plain/", f"before-{number}", zones[number % len(zones)])
+        await site.request("/plain/", f"before-{number}", zones[number % len(zones)])
 
 
 async def send_repeatedly(site, path, zones, count=REPEATS, body=CRASHING_BODY, first=0, **options):
@@ -39,7 +39,9 @@
     answers = []
     for number in range(first, first + count):
         zone = zones[number % len(zones)]
-        answers.append(await site.ask(path, f"{path}{body}{number}", zone, body=body, **options))
+        answers.append(
+            await site.request(path, f"{path}{body}{number}", zone, body=body, **options)
+        )
         await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
     return answers
 
@@ -75,7 +77,7 @@
     before = len(site.crashes())
     for zone in zones:
         await site.restart_node(zone)
-        await site.ready(zone)
+        await site.wait_until_ready(zone)
         await send_repeatedly(site, "/plain/x", (zone,), 3, first=100)
     assert len(site.crashes()) <= before + 3
     assert len(site.crashes()) <= MAX_CRASHES
@@ -89,11 +91,11 @@
         worker.seconds = 0.3
     for number in range(6):
         concurrent = [
-            asyncio.create_task(site.ask("/plain/y", f"beside-{number}-{index}", "z1", **slow))
+            asyncio.create_task(site.request("/plain/y", f"beside-{number}-{index}", "z1", **slow))
             for index in range(4)
         ]
         await asyncio.sleep(0.05)
-        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
+        await site.request("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
         await asyncio.gather(*concurrent)
         await asyncio.sleep(0.8)
     answers = await send_repeatedly(site, "/plain/y", zones, 3, body=b"harmless")
@@ -108,9 +110,9 @@
     served = []
     for number in range(12):
         harmless = asyncio.create_task(
-            site.ask("/plain/y", f"harmless-{number}", zones[number % 3], body=b"harmless")
+            site.request("/plain/y", f"harmless-{number}", zones[number % 3], body=b"harmless")
         )
-        await site.ask("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
+        await site.request("/plain/x", f"deadly-{number}", zones[number % 3], body=CRASHING_BODY)
         served.append((await harmless).status == 200)
         await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
     assert all(served[-3:])
@@ -125,16 +127,16 @@
     statuses = []
     for number in range(8):
         port = int(worker.server.address.rpartition(":")[2])
-        await until(lambda port=port: is_listening(port), "the worker is back")
+        await wait_until(lambda port=port: is_listening(port), "the worker is back")
         concurrent = asyncio.create_task(
-            site.ask("/plain/y", f"harmless-{number}", "z1", body=b"h")
+            site.request("/plain/y", f"harmless-{number}", "z1", body=b"h")
         )
         await asyncio.sleep(0.05)
-        await site.ask("/plain/x", f"deadly-{number}", "z1", body=CRASHING_BODY)
+        await site.request("/plain/x", f"deadly-{number}", "z1", body=CRASHING_BODY)
         statuses.append((await concurrent).status)
         await asyncio.sleep(0.3)
     assert statuses[-3:] == [200] * 3
-    assert is_refused(await site.ask("/plain/x", "deadly", "z1", body=CRASHING_BODY))
+    assert is_refused(await site.request("/plain/x", "deadly", "z1", body=CRASHING_BODY))
     assert len(site.crashes()) <= MAX_CRASHES
 
 
@@ -144,12 +146,12 @@
     for worker in site.workers.values():
         worker.seconds = 0.3
     tasks = [
-        asyncio.create_task(site.ask("/plain/y", f"asked-{index}", zones[index % 3], body=b"h"))
+        asyncio.create_task(site.request("/plain/y", f"asked-{index}", zones[index % 3], body=b"h"))
         for index in range(24)
     ]
     await asyncio.sleep(0.15)
     for worker in list(site.workers.values()):
-        await worker.end()
+        await worker.terminate()
     answers = await asyncio.gather(*tasks)
     assert 502 in [answer.status for answer in answers]
     await asyncio.sleep(1.0)
@@ -167,7 +169,7 @@
     zones = ("z1", "z2", "z3")
     await start_site(site, zones)
     for worker in site.workers.values():
-        worker.faults = WorkerFaults(lose_answer=3)
+        worker.faults = WorkerFaults(lose_responses=3)
     await send_repeatedly(site, "/plain/x", zones, body=b"harmless")
     for worker in site.workers.values():
         worker.faults = WorkerFaults()
@@ -185,12 +187,12 @@
     site.configure(configuration(2, tenants=tenants))
     for zone in zones:
         node = site.nodes[zone]
-        await until(lambda node=node: node.configuration_version() == 2, "two tenants")
+        await wait_until(lambda node=node: node.configuration_version() == 2, "two tenants")
     await send_repeatedly(site, "/plain/x", zones)
     for answer in (
-        await site.ask("/plain/x", "tenant", body=CRASHING_BODY, key="key-2", name="z1"),
-        await site.ask("/plain/x", "body", body=b"other", name="z1"),
-        await site.ask("/plain/x?q=1", "query", body=b"other", name="z1"),
+        await site.request("/plain/x", "tenant", body=CRASHING_BODY, key="key-2", name="z1"),
+        await site.request("/plain/x", "body", body=b"other", name="z1"),
+        await site.request("/plain/x?q=1", "query", body=b"other", name="z1"),
     ):
         assert answer.status == 200
-    assert is_refused(await site.ask("/plain/x", "deadly", body=CRASHING_BODY, name="z1"))
+    assert is_refused(await site.request("/plain/x", "deadly", body=CRASHING_BODY, name="z1"))
--- a/tests/probe/forwarding/test_early_answer.py
+++ b/tests/probe/forwarding/test_early_answer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from standins.platform_site import until
+from standins.platform_site import wait_until
 from standins.platform_worker import worker_entry
 
 BODY = bytes(range(256)) * 350
@@ -53,15 +53,15 @@
     await worker.start()
     site.model.put("servers/i-early", worker_entry("plain", worker.address, "z1"))
     node = await site.add_node()
-    await until(lambda: node.is_ready() and "i-early" in node.worker_ids(), "node ready")
+    await wait_until(lambda: node.is_ready() and "i-early" in node.worker_ids(), "node ready")
     return worker
 
 
 async def test_early_response_is_forwarded_and_body_is_sent_completely(site):
     worker = await early_site(site)
     for number in range(4):
-        answer = await site.ask("/plain/", f"r{number}", body=BODY)
+        answer = await site.request("/plain/", f"r{number}", body=BODY)
         assert (answer.status, answer.body) == (200, f"r{number}".encode())
-    await until(lambda: len(worker.bodies) == 4, "all bodies read")
+    await wait_until(lambda: len(worker.bodies) == 4, "all bodies read")
     assert worker.bodies == [BODY] * 4
     assert worker.faults == []
--- a/tests/probe/forwarding/test_failures.py
+++ b/tests/probe/forwarding/test_failures.py
@@ -1,6 +1,6 @@
 """Failed attempts: which requests are retried, and which response the caller receives."""
 
-from standins.platform_site import until
+from standins.platform_site import wait_until
 from standins.platform_worker import PlatformWorker, WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -12,9 +12,9 @@
     for worker in pair:
         await site.add_worker(worker, "plain")
     await site.add_node()
-    await site.ready()
+    await site.wait_until_ready()
     for number in range(20):
-        await site.ask("/plain/", f"before-{number}")
+        await site.request("/plain/", f"before-{number}")
     for worker in pair:
         worker.faults = faults
     return pair
@@ -26,15 +26,15 @@
     for engine in fleet:
         await site.add_worker(engine, "engines")
     await site.add_node()
-    await site.ready()
+    await site.wait_until_ready()
     for number in range(20):
-        await site.ask("/stream/x", f"before-{number}", **PROMPT)
+        await site.request("/stream/x", f"before-{number}", **PROMPT)
     return fleet
 
 
 async def test_lost_response_of_non_repeatable_request_runs_once_and_returns_502(site):
-    await plain_pair(site, WorkerFaults(lose_answer=9))
-    answer = await site.ask("/plain/", "r1")
+    await plain_pair(site, WorkerFaults(lose_responses=9))
+    answer = await site.request("/plain/", "r1")
     assert answer.status == 502 and "retry-after" in answer.headers
     assert len(site.runs("r1")) == 1
 
@@ -42,8 +42,8 @@
 async def test_lost_response_of_repeatable_request_is_retried_at_another_worker(site):
     pair = await plain_pair(site, WorkerFaults())
     for worker in pair:
-        worker.faults = WorkerFaults(lose_answer=1)
-    answer = await site.ask("/safe/", "r1")
+        worker.faults = WorkerFaults(lose_responses=1)
+    answer = await site.request("/safe/", "r1")
     runs = site.runs("r1")
     # The maximum is two attempts, and both lose their response.
     assert len(runs) == 2 and answer.status == 502
@@ -52,7 +52,7 @@
 
 async def test_request_rejected_by_every_worker_is_reported_as_not_run(site):
     await plain_pair(site, WorkerFaults(shed=99))
-    answer = await site.ask("/plain/", "r1")
+    answer = await site.request("/plain/", "r1")
     assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
     assert site.runs("r1") == []
 
@@ -61,7 +61,7 @@
     pair = await plain_pair(site, WorkerFaults())
     pair[0].faults = WorkerFaults(shed=99)
     for number in range(4):
-        answer = await site.ask("/plain/", f"r{number}")
+        answer = await site.request("/plain/", f"r{number}")
         assert answer.status == 200
         assert len(site.runs(f"r{number}")) == 1
 
@@ -70,14 +70,14 @@
     faults = WorkerFaults(shed=10_000)
     await plain_pair(site, faults)
     for number in range(40):
-        assert (await site.ask("/plain/", f"r{number}")).status == 503
+        assert (await site.request("/plain/", f"r{number}")).status == 503
     assert 40 <= 10_000 - faults.shed <= 40 + 0.2 * 60
 
 
 async def test_server_error_of_worker_is_forwarded_with_signature(site, caplog):
     await plain_pair(site, WorkerFaults(status=500))
     with caplog.at_level("INFO", logger="wheelslip"):
-        answer = await site.ask("/plain/", "r1")
+        answer = await site.request("/plain/", "r1")
     assert answer.status == 500
     (finished,) = [record for record in caplog.records if record.getMessage() == "request_finished"]
     assert finished.outcome == "failed"
@@ -87,33 +87,33 @@
 
 async def test_unsigned_success_returns_502(site):
     await plain_pair(site, WorkerFaults(unsigned=True))
-    assert (await site.ask("/plain/", "r1")).status == 502
+    assert (await site.request("/plain/", "r1")).status == 502
 
 
 async def test_response_to_another_request_is_skipped(site):
-    await plain_pair(site, WorkerFaults(foreign_first=True))
+    await plain_pair(site, WorkerFaults(foreign_response_first=True))
     for number in range(3):
-        answer = await site.ask("/plain/", f"r{number}")
+        answer = await site.request("/plain/", f"r{number}")
         assert answer.body.endswith(f"to r{number}".encode())
 
 
 async def test_bytes_after_complete_response_are_discarded(site):
-    await plain_pair(site, WorkerFaults(surplus_after=True))
-    caller = await site.caller()
+    await plain_pair(site, WorkerFaults(extra_response=True))
+    caller = await site.connect()
     for number in range(5):
         caller.send("/plain/", f"r{number}")
-        answer = await caller.answer()
+        answer = await caller.read_response()
         assert answer.body.endswith(f"to r{number}".encode())
 
 
 async def test_other_incarnation_at_same_address_runs_nothing(site):
     pair = await plain_pair(site, WorkerFaults())
-    assert (await site.ask("/plain/", "before")).status == 200
+    assert (await site.request("/plain/", "before")).status == 200
     # The worker to which the node has an idle connection is preferred for the next request.
     (replaced,) = [worker for worker in pair if "before" in [run.request_id for run in worker.runs]]
     replaced.id = "i-replaced"
     for number in range(4):
-        assert (await site.ask("/plain/", f"r{number}")).status == 200
+        assert (await site.request("/plain/", f"r{number}")).status == 200
     assert not [run for run in replaced.runs if run.request_id.startswith("r")]
 
 
@@ -122,15 +122,15 @@
     for engine in fleet:
         engine.faults = WorkerFaults(break_after=3)
     runs_before = {engine.id: len(engine.runs) for engine in fleet}
-    caller = await site.caller()
+    caller = await site.connect()
     caller.send("/resumed/x", "r1", **PROMPT)
-    await until(
+    await wait_until(
         lambda: any(len(engine.runs) > runs_before[engine.id] for engine in fleet), "first attempt"
     )
     for engine in fleet:
         if len(engine.runs) == runs_before[engine.id]:
             engine.faults = WorkerFaults()
-    answer = await caller.answer()
+    answer = await caller.read_response()
     assert answer.complete
     ids = [int(line[4:]) for line in answer.body.split(b"\n") if line.startswith(b"id: ")]
     assert ids == [1, 2, 3, 4, 5, 6]
@@ -142,7 +142,7 @@
     fleet = await start_engines(site, 2, events=6)
     for engine in fleet:
         engine.faults = WorkerFaults(break_after=3)
-    answer = await site.ask("/stream/x", "r1", **PROMPT)
+    answer = await site.request("/stream/x", "r1", **PROMPT)
     assert answer.status == 200 and not answer.complete
     assert answer.body.count(b"id: ") == 3 and not answer.body.endswith(b"data: t")
     assert len(site.runs("r1")) == 1
@@ -152,18 +152,18 @@
     pair = await plain_pair(site, WorkerFaults())
     await pair[0].server.stop()
     for number in range(6):
-        assert (await site.ask("/plain/", f"r{number}")).status == 200
+        assert (await site.request("/plain/", f"r{number}")).status == 200
 
 
 async def test_draining_or_removed_worker_gets_no_new_requests(site):
     pair = await plain_pair(site, WorkerFaults())
-    site.enter(pair[0], "plain", state="draining")
-    await until(lambda: True, "change written")
+    site.write_entry(pair[0], "plain", state="draining")
+    await wait_until(lambda: True, "change written")
     runs_before = len(pair[0].runs)
     node = site.nodes["n1"]
-    await until(lambda: not node.accepts_new_requests("i-1"), "draining seen")
+    await wait_until(lambda: not node.accepts_new_requests("i-1"), "draining seen")
     site.model.remove("servers/i-1")
-    await until(lambda: "i-1" not in node.worker_ids(), "vanished seen")
+    await wait_until(lambda: "i-1" not in node.worker_ids(), "vanished seen")
     for number in range(5):
-        assert (await site.ask("/plain/", f"r{number}")).status == 200
+        assert (await site.request("/plain/", f"r{number}")).status == 200
     assert len(pair[0].runs) == runs_before
--- a/tests/probe/forwarding/test_one_reader.py
+++ b/tests/probe/forwarding/test_one_reader.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from standins.platform_site import Site, configuration, until
+from standins.platform_site import Site, configuration, wait_until
 from standins.platform_worker import PlatformWorker
 
 WATCH = ("GET", "/kv-watch")
@@ -15,7 +15,7 @@
     await site.add_worker(PlatformWorker("i-1"), "plain")
     await site.add_relays(ZONES)
     first = site.nodes["z1"]
-    await until(lambda: first.gauge("followers") == 2, "the others follow the first relay")
+    await wait_until(lambda: first.gauge("followers") == 2, "the others follow the first relay")
 
 
 async def test_relays_of_all_zones_receive_changes_from_a_single_store_reader(site):
@@ -28,19 +28,19 @@
     assert 1 <= site.store.calls.count(WATCH) <= 4
     site.configure(configuration(9, keys=["key-2"]))
     for zone in ZONES:
-        await until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
-        assert (await site.ask("/plain/", f"old-{zone}", zone)).status == 401
-        assert (await site.ask("/plain/", f"new-{zone}", zone, key="key-2")).status == 200
+        await wait_until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
+        assert (await site.request("/plain/", f"old-{zone}", zone)).status == 401
+        assert (await site.request("/plain/", f"new-{zone}", zone, key="key-2")).status == 200
 
 
 async def test_relays_stay_current_when_the_reader_is_cut_off_from_the_store(site):
     await start_relays(site)
-    site.cut_from_store("z1")
+    site.disconnect_from_store("z1")
     site.store.server.reset_all()
     await asyncio.sleep(0.5)
     site.configure(configuration(9, keys=["key-2"]))
     for zone in ZONES:
-        await until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
+        await wait_until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
     oldest = max(site.nodes[zone].view_age() for zone in ("z2", "z3"))
     assert oldest < 3.5
     assert all(site.nodes[zone].is_ready() for zone in ("z2", "z3"))
@@ -52,5 +52,5 @@
     await lost.stop()
     site.configure(configuration(9, keys=["key-2"]))
     for zone in ("z2", "z3"):
-        await until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
+        await wait_until(lambda zone=zone: site.nodes[zone].configuration_version() == 9, zone)
         assert site.nodes[zone].is_ready()
--- a/tests/probe/forwarding/test_outage_after_bound.py
+++ b/tests/probe/forwarding/test_outage_after_bound.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from standins.platform_site import until
+from standins.platform_site import wait_until
 from standins.platform_worker import PlatformWorker
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -17,19 +17,19 @@
     site.model.put("op/version/m", b'{"model_id":"m","version":1}')
     await site.add_worker(worker, "engines")
     node = await site.add_node(weights_deadline_ms=WEIGHTS_DEADLINE_MS)
-    await site.ready()
+    await site.wait_until_ready()
     # The worker refuses to load this unknown version and keeps version 1.
     site.model.put("op/version/m", b'{"model_id":"m","version":2}')
     deadline = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
-    assert (await site.ask("/stream/x", "early", **PROMPT)).status == 200
+    assert (await site.request("/stream/x", "early", **PROMPT)).status == 200
     await asyncio.sleep(deadline - time.monotonic())
-    site.store.refuse = 503
+    site.store.error_status = 503
     site.store.server.reset_all()
     await asyncio.sleep(OUTAGE_SECONDS)
-    site.store.refuse = 0
-    await until(lambda: node.view_age() < OUTAGE_SECONDS / 2, "the store is read again")
+    site.store.error_status = 0
+    await wait_until(lambda: node.view_age() < OUTAGE_SECONDS / 2, "the store is read again")
     for number in range(4):
-        answer = await site.ask("/stream/x", f"late-{number}", **PROMPT)
+        answer = await site.request("/stream/x", f"late-{number}", **PROMPT)
         assert answer.status == 503
         await asyncio.sleep(0.2)
     assert [run.request_id for run in worker.runs] == ["early"]
--- a/tests/probe/forwarding/test_peers.py
+++ b/tests/probe/forwarding/test_peers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from standins.platform_site import free_port, until
+from standins.platform_site import free_port, wait_until
 from standins.platform_worker import PlatformWorker
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -13,17 +13,17 @@
     seed = f"127.0.0.1:{free_port()}"
     first = await site.add_node("n1", peers=seed)
     second = await site.add_node("n2", peers=f"127.0.0.1:{free_port()}", seeds=[seed])
-    await site.ready("n1")
-    await site.ready("n2")
-    await until(lambda: first.gauge("followers") + second.gauge("followers") == 1, "a relay")
-    caller = await site.caller("n1")
+    await site.wait_until_ready("n1")
+    await site.wait_until_ready("n2")
+    await wait_until(lambda: first.gauge("followers") + second.gauge("followers") == 1, "a relay")
+    caller = await site.connect("n1")
     caller.send("/stream/x", "r1", **PROMPT)
-    await until(lambda: worker.runs, "request runs")
-    await until(
+    await wait_until(lambda: worker.runs, "request runs")
+    await wait_until(
         lambda: second.running_requests_at("i-1") == 1, "the load is reported to the other node"
     )
-    caller.leave()
-    await until(lambda: second.running_requests_at("i-1") == 0, "the end is reported")
+    caller.abort()
+    await wait_until(lambda: second.running_requests_at("i-1") == 0, "the end is reported")
     assert first.running_requests_at("i-1") == 0
 
 
@@ -32,10 +32,10 @@
     worker = await site.add_worker(PlatformWorker("i-1"), "plain")
     address = f"127.0.0.1:{free_port()}"
     node = await site.add_node("n1", peers=address)
-    await site.ready()
+    await site.wait_until_ready()
     node.receive_datagram(b"7:garbage,")
     node.receive_datagram(b"\xff\x00")
-    assert (await site.ask("/plain/", "r1")).status == 200
+    assert (await site.request("/plain/", "r1")).status == 200
     assert worker.runs and node.running_requests_at("i-1") == 0
 
 
@@ -43,13 +43,13 @@
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1", seconds=4), "plain")
     node = await site.add_node("n1", peers=f"127.0.0.1:{free_port()}", seeds=["127.0.0.1:9"])
-    await site.ready()
-    caller = await site.caller()
+    await site.wait_until_ready()
+    caller = await site.connect()
     caller.send("/plain/", "r1")
-    await until(lambda: worker.runs, "request runs")
+    await wait_until(lambda: worker.runs, "request runs")
     with caplog.at_level("WARNING", logger="wheelslip"):
         await node.stop()
         # Longer than the interval between two reports.
         await asyncio.sleep(0.6)
     assert [record.getMessage() for record in caplog.records] == []
-    assert (await caller.answer()).status == 200
+    assert (await caller.read_response()).status == 200
--- a/tests/probe/forwarding/test_relay.py
+++ b/tests/probe/forwarding/test_relay.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from standins.platform_site import configuration, free_port, until
+from standins.platform_site import configuration, free_port, wait_until
 from standins.platform_worker import PlatformWorker
 
 WATCH = ("GET", "/kv-watch")
@@ -21,12 +21,12 @@
         peers = seed if number == 0 else f"127.0.0.1:{free_port()}"
         await site.add_node(f"n{number}", peers=peers, seeds=[seed])
     for name in site.nodes:
-        await site.ready(name)
+        await site.wait_until_ready(name)
     nodes = site.nodes
-    await until(lambda: sum(is_relay(node) for node in nodes.values()) == 1, "one relay")
+    await wait_until(lambda: sum(is_relay(node) for node in nodes.values()) == 1, "one relay")
     relay = next(name for name, node in nodes.items() if is_relay(node))
     expected = count - 1
-    await until(lambda: nodes[relay].gauge("followers") == expected, "the others follow it")
+    await wait_until(lambda: nodes[relay].gauge("followers") == expected, "the others follow it")
     return relay, [name for name in nodes if name != relay]
 
 
@@ -40,9 +40,9 @@
     assert 1 <= site.store.calls.count(WATCH) <= 4
     site.configure(configuration(9, keys=["key-2"]))
     for name in others:
-        await until(lambda name=name: site.nodes[name].configuration_version() == 9, name)
-        assert (await site.ask("/plain/", f"old-{name}", name)).status == 401
-        assert (await site.ask("/plain/", f"new-{name}", name, key="key-2")).status == 200
+        await wait_until(lambda name=name: site.nodes[name].configuration_version() == 9, name)
+        assert (await site.request("/plain/", f"old-{name}", name)).status == 401
+        assert (await site.request("/plain/", f"new-{name}", name, key="key-2")).status == 200
 
 
 async def test_lost_relay_is_replaced_while_the_other_nodes_stay_ready(site):
@@ -51,8 +51,8 @@
     await lost.stop()
     site.configure(configuration(9, keys=["key-2"]))
     for name in others:
-        await until(lambda name=name: site.nodes[name].configuration_version() == 9, name)
-    await until(lambda: sum(is_relay(site.nodes[name]) for name in others) == 1, "a new relay")
+        await wait_until(lambda name=name: site.nodes[name].configuration_version() == 9, name)
+    await wait_until(lambda: sum(is_relay(site.nodes[name]) for name in others) == 1, "a new relay")
     for name in others:
         assert site.nodes[name].is_ready()
 
@@ -60,24 +60,24 @@
 async def test_follower_cut_off_from_the_store_stays_current_through_its_relay(site):
     relay, others = await start_zone(site, 2)
     follower = site.nodes[others[0]]
-    site.cut_from_store(others[0])
+    site.disconnect_from_store(others[0])
     site.configure(configuration(9, keys=["key-2"]))
-    await until(lambda: follower.configuration_version() == 9, "configuration by the relay")
+    await wait_until(lambda: follower.configuration_version() == 9, "configuration by the relay")
     await asyncio.sleep(3.0)
     assert follower.is_ready() and follower.view_age() < 2.0
-    assert (await site.ask("/plain/", "r1", others[0], key="key-2")).status == 200
+    assert (await site.request("/plain/", "r1", others[0], key="key-2")).status == 200
 
 
 async def test_follower_reads_the_store_when_its_relay_is_cut_off(site):
     relay, others = await start_zone(site, 2)
-    site.cut_from_store(relay)
+    site.disconnect_from_store(relay)
     site.store.server.reset_all()
     await asyncio.sleep(0.5)
     site.configure(configuration(9, keys=["key-2"]))
     follower = site.nodes[others[0]]
-    await until(lambda: follower.configuration_version() == 9, "configuration from the store")
+    await wait_until(lambda: follower.configuration_version() == 9, "configuration from the store")
     # The relay receives the change from its follower.
-    await until(
+    await wait_until(
         lambda: site.nodes[relay].configuration_version() == 9, "configuration from the follower"
     )
 
@@ -87,7 +87,7 @@
     site.store.server.silent = True
     seed = site.nodes[relay].settings.node.peers
     late = await site.add_node("late", peers=f"127.0.0.1:{free_port()}", seeds=[seed])
-    await until(lambda: late.configuration_version() == 1, "configuration from a peer")
+    await wait_until(lambda: late.configuration_version() == 1, "configuration from a peer")
     assert "i-1" in late.worker_ids()
     # The view is not considered newer than that of the peer.
     assert late.view_age() >= site.nodes[relay].view_age() - 0.1
--- a/tests/probe/forwarding/test_restarted_worker.py
+++ b/tests/probe/forwarding/test_restarted_worker.py
@@ -13,12 +13,12 @@
     site.configure()
     old = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
     await site.add_node()
-    await site.ready()
-    assert (await site.ask("/plain/x", "before")).status == 200
-    site.enter(old, "plain", "draining")
-    await site.until_current(2)
+    await site.wait_until_ready()
+    assert (await site.request("/plain/x", "before")).status == 200
+    site.write_entry(old, "plain", "draining")
+    await site.configure_and_wait(2)
     new = await site.add_worker(PlatformWorker("i-1", born=BORN + RESTARTED_MS), "plain")
-    await site.until_current(3)
-    answers = [await site.ask("/plain/x", f"after-{number}") for number in range(4)]
+    await site.configure_and_wait(3)
+    answers = [await site.request("/plain/x", f"after-{number}") for number in range(4)]
     assert [answer.status for answer in answers] == [200] * 4
     assert ([len(old.arrivals), len(new.arrivals)]) == [1, 4]
--- a/tests/probe/forwarding/test_said_in_answers.py
+++ b/tests/probe/forwarding/test_said_in_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.platform_site import Answer, until
+from standins.platform_site import Response, wait_until
 from standins.platform_worker import PlatformWorker, WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -31,7 +31,7 @@
     zone: str
     sent_at: float
     ended_at: float
-    answer: Answer
+    answer: Response
 
 
 class Traffic:
@@ -58,10 +58,10 @@
             )
             await asyncio.sleep(CALLER_PAUSE_SECONDS)
 
-    async def send(self, request_id: str, zone: str) -> Answer:
+    async def send(self, request_id: str, zone: str) -> Response:
         """Send one request and record it."""
         sent_at = time.monotonic()
-        answer = await self._site.ask(self._path, request_id, zone, **self._options)
+        answer = await self._site.request(self._path, request_id, zone, **self._options)
         self.sent[request_id] = SentRequest(zone, sent_at, time.monotonic(), answer)
         return answer
 
@@ -87,9 +87,9 @@
     def max_requests_in_backoff(self, worker: PlatformWorker, seconds: float) -> int:
         """Return the maximum number of requests that one node sent to a worker in one backoff."""
         counts = [0]
-        for backoff in worker.rests:
+        for backoff in worker.backoff_requests:
             zone = self.sent[backoff.request_id].zone
-            starts_at, ends_at = backoff.at + BACKOFF_MARGIN_SECONDS, backoff.at + seconds
+            starts_at, ends_at = backoff.sent_at + BACKOFF_MARGIN_SECONDS, backoff.sent_at + seconds
             counts.append(
                 sum(
                     starts_at < arrived_at < ends_at
@@ -118,35 +118,35 @@
 async def test_leaving_notice_stops_requests_of_forwarding_node(site):
     await start_site(site, THREE_ZONES)
     leaving = site.workers["i-0"]
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     traffic = Traffic(site, THREE_ZONES)
     await traffic.run(DRAIN_SECONDS + 1.5)
     assert traffic.sent_after_leaving_notice(leaving) == []
 
 
-@pytest.mark.parametrize("hides_not_run", [False, True])
-async def test_requested_backoff_is_respected(site, hides_not_run):
+@pytest.mark.parametrize("omit_not_executed", [False, True])
+async def test_requested_backoff_is_respected(site, omit_not_executed):
     await start_site(site)
     backing_off = site.workers["i-0"]
-    backing_off.faults = WorkerFaults(shed=1, rest="3", hides_not_run=hides_not_run)
+    backing_off.faults = WorkerFaults(shed=1, retry_after="3", omit_not_executed=omit_not_executed)
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(3.0)
-    assert backing_off.rests
+    assert backing_off.backoff_requests
     assert traffic.max_requests_in_backoff(backing_off, 3.0) <= MAX_REQUESTS_IN_BACKOFF
 
 
 async def test_rewritten_entry_does_not_revoke_leaving_notice(site):
     await start_site(site)
     leaving = site.workers["i-0"]
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     traffic = Traffic(site, ONE_ZONE)
     traffic_task = asyncio.create_task(traffic.run(DRAIN_SECONDS + 1.5))
     for _ in range(10):
         await asyncio.sleep(0.3)
-        site.enter(leaving, "plain")
+        site.write_entry(leaving, "plain")
     site.model.remove("servers/i-0")
     await asyncio.sleep(0.1)
-    site.enter(leaving, "plain")
+    site.write_entry(leaving, "plain")
     await traffic_task
     assert leaving.arrivals
     assert traffic.sent_after_leaving_notice(leaving) == []
@@ -156,7 +156,7 @@
     zones = ("z1", "z2")
     await start_site(site, zones, "engines")
     leaving = site.workers["i-0"]
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     traffic = Traffic(site, zones, "/stream/x", **PROMPT)
     await traffic.run(DRAIN_SECONDS + 1.5)
     assert leaving.arrivals
@@ -169,7 +169,7 @@
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(0.7)
     before = len(leaving.arrivals)
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     leaving.faults = WorkerFaults(shed=1000)
     await traffic.run(1.0)
     assert 1 <= len(leaving.arrivals) - before <= CALLERS, "at most the concurrent requests"
@@ -178,24 +178,24 @@
 
 async def test_leaving_notice_in_report_is_applied(site):
     await start_site(site, ONE_ZONE, "engines")
-    site.name_weights("m", 2)
+    site.set_desired_version("m", 2)
     leaving = site.workers["i-0"]
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     node = site.nodes["z1"]
-    await until(lambda: not node.accepts_new_requests("i-0"), "its report was received")
+    await wait_until(lambda: not node.accepts_new_requests("i-0"), "its report was received")
     assert not leaving.arrivals
 
 
 async def test_new_incarnation_is_used_after_leaving_notice(site):
     await start_site(site)
     worker = site.workers["i-0"]
-    worker.says_leaving = True
+    worker.announces_leaving = True
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(0.5)
-    worker.says_leaving = False
+    worker.announces_leaving = False
     worker.born += 1000
-    site.enter(worker, "plain")
-    await until(
+    site.write_entry(worker, "plain")
+    await wait_until(
         lambda: site.nodes["z1"].accepts_new_requests("i-0"), "the new incarnation is in use"
     )
     before = len(worker.arrivals)
@@ -206,7 +206,7 @@
 async def test_backoff_of_only_worker_gives_callers_staggered_retry_times(site):
     await start_site(site, workers=1)
     worker = site.workers["i-0"]
-    worker.faults = WorkerFaults(shed=1, rest="3")
+    worker.faults = WorkerFaults(shed=1, retry_after="3")
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(2.5)
     assert traffic.max_requests_in_backoff(worker, 3.0) == 0
@@ -219,18 +219,20 @@
 async def test_worker_is_used_after_backoff(site):
     await start_site(site, workers=1)
     worker = site.workers["i-0"]
-    worker.faults = WorkerFaults(shed=1, rest="1")
+    worker.faults = WorkerFaults(shed=1, retry_after="1")
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(3.0)
     later_arrivals = [
-        arrived_at for _, arrived_at in worker.arrivals if arrived_at > worker.rests[0].at + 1.0
+        arrived_at
+        for _, arrived_at in worker.arrivals
+        if arrived_at > worker.backoff_requests[0].sent_at + 1.0
     ]
     assert len(later_arrivals) > 20
 
 
 async def test_request_waits_for_end_of_short_backoff(site):
     await start_site(site, workers=1)
-    site.workers["i-0"].faults = WorkerFaults(shed=1, rest="0.5")
+    site.workers["i-0"].faults = WorkerFaults(shed=1, retry_after="0.5")
     traffic = Traffic(site, ONE_ZONE)
     await traffic.send("turned-away", "z1")
     assert (await traffic.send("waits", "z1")).status == 200
@@ -239,19 +241,19 @@
 async def test_simultaneous_backoffs_of_all_workers_are_respected(site):
     await start_site(site, THREE_ZONES)
     for worker in site.workers.values():
-        worker.faults = WorkerFaults(shed=1000, rest="2")
+        worker.faults = WorkerFaults(shed=1000, retry_after="2")
     traffic = Traffic(site, THREE_ZONES)
     for _ in range(3):
         await asyncio.gather(*(traffic.run(0.7) for _ in range(5)))
     for worker in site.workers.values():
-        assert worker.rests
+        assert worker.backoff_requests
         assert traffic.max_requests_in_backoff(worker, 2.0) <= MAX_REQUESTS_IN_BACKOFF
 
 
 async def test_backoff_applies_only_to_node_that_received_it(site):
     await start_site(site, THREE_ZONES, workers=1)
     worker = site.workers["i-0"]
-    worker.faults = WorkerFaults(shed=1, rest="3")
+    worker.faults = WorkerFaults(shed=1, retry_after="3")
     traffic = Traffic(site, THREE_ZONES)
     await traffic.send("turned-away", "z1")
     assert (await traffic.send("at-another", "z2")).status == 200
@@ -261,20 +263,20 @@
 async def test_waiting_requests_are_not_sent_all_at_once_after_backoff(site):
     await start_site(site, workers=1)
     worker = site.workers["i-0"]
-    worker.faults = WorkerFaults(shed=1, rest="0.5")
+    worker.faults = WorkerFaults(shed=1, retry_after="0.5")
     traffic = Traffic(site, ONE_ZONE)
     await traffic.send("turned-away", "z1")
     worker.seconds = 0.05
-    worker.faults = WorkerFaults(rest="5", shed_while=2)
+    worker.faults = WorkerFaults(retry_after="5", max_running=2)
     waiting = [asyncio.create_task(traffic.send(f"waits-{number}", "z1")) for number in range(20)]
     await asyncio.gather(*waiting)
-    assert len(worker.rests) <= 3, "concurrency grows only with each served request"
+    assert len(worker.backoff_requests) <= 3, "concurrency grows only with each served request"
 
 
 @pytest.mark.parametrize("rest", ["soon", "-4", "1e400", "nan", " ", "0", "3 s"])
 async def test_invalid_backoff_is_ignored(site, rest):
     await start_site(site, workers=1)
-    site.workers["i-0"].faults = WorkerFaults(shed=1, rest=rest)
+    site.workers["i-0"].faults = WorkerFaults(shed=1, retry_after=rest)
     traffic = Traffic(site, ONE_ZONE)
     await traffic.send("turned-away", "z1")
     assert (await traffic.send("next", "z1")).status == 200
@@ -285,8 +287,8 @@
     backing_off = site.workers["i-0"]
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(0.7)
-    backing_off.faults = WorkerFaults(shed=1, rest="9" * 400)
+    backing_off.faults = WorkerFaults(shed=1, retry_after="9" * 400)
     await traffic.run(1.5)
-    assert backing_off.rests
+    assert backing_off.backoff_requests
     assert traffic.max_requests_in_backoff(backing_off, 10.0) <= MAX_REQUESTS_IN_BACKOFF
     assert all(request.answer.status == 200 for request in traffic.sent.values())
--- a/tests/probe/forwarding/test_stalled_process.py
+++ b/tests/probe/forwarding/test_stalled_process.py
@@ -6,7 +6,7 @@
 
 import time
 
-from standins.platform_site import until
+from standins.platform_site import wait_until
 from standins.platform_worker import PlatformWorker
 
 STALL_SECONDS = 2.5
@@ -21,8 +21,8 @@
         site.configure()
         await site.add_worker(PlatformWorker("i-1"), "plain")
         node = await site.add_node()
-        await site.ready()
+        await site.wait_until_ready()
         time.sleep(STALL_SECONDS)
         site.model.remove("servers/i-1")
-        await until(lambda: not node.worker_ids(), "the worker is removed")
+        await wait_until(lambda: not node.worker_ids(), "the worker is removed")
         assert "engine_doubtful" not in messages(caplog)
--- a/tests/probe/forwarding/test_suspended_node.py
+++ b/tests/probe/forwarding/test_suspended_node.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.platform_site import configuration, until
+from standins.platform_site import configuration, wait_until
 from standins.platform_worker import PlatformWorker
 from tests.unit.test_clocks import Suspension
 
@@ -25,15 +25,15 @@
     site.configure()
     worker = await site.add_worker(PlatformWorker("i-1"), "plain")
     node = await site.add_node()
-    await site.ready()
-    await until(lambda: node.gauge("holder") == 1.0, "the node is the holder")
-    assert (await site.ask("/plain/", "before")).status == 200
-    site.cut_from_store("n1")
+    await site.wait_until_ready()
+    await wait_until(lambda: node.gauge("holder") == 1.0, "the node is the holder")
+    assert (await site.request("/plain/", "before")).status == 200
+    site.disconnect_from_store("n1")
     site.configure(configuration(2, keys=["key-2"]))
     suspension.seconds = SUSPENDED_SECONDS
     assert node.gauge("holder") == 0.0
     assert not node.is_ready()
-    answer = await site.ask("/plain/", "after")
+    answer = await site.request("/plain/", "after")
     assert answer.status == 503 and b"not_ready" in answer.body
     assert [run.request_id for run in worker.runs] == ["before"]
 
@@ -42,9 +42,9 @@
     site.configure()
     await site.add_worker(PlatformWorker("i-1"), "plain")
     node = await site.add_node()
-    await site.ready()
-    assert (await site.ask("/plain/", "before")).status == 200
+    await site.wait_until_ready()
+    assert (await site.request("/plain/", "before")).status == 200
     suspension.seconds = SUSPENDED_SECONDS
-    await until(node.is_ready, "the node is ready")
-    answers = [await site.ask("/plain/", f"after-{number}") for number in range(3)]
+    await wait_until(node.is_ready, "the node is ready")
+    answers = [await site.request("/plain/", f"after-{number}") for number in range(3)]
     assert [answer.status for answer in answers] == [200] * 3
--- a/tests/probe/forwarding/test_tenant_limits.py
+++ b/tests/probe/forwarding/test_tenant_limits.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from standins.platform_site import KEY, Site, configuration, until
+from standins.platform_site import KEY, Site, configuration, wait_until
 from standins.platform_worker import PlatformWorker
 
 ZONES = ("z1", "z2", "z3")
@@ -25,7 +25,7 @@
         await site.add_worker(PlatformWorker(f"i-{number}", model="m"), "engines")
     await site.add_worker(PlatformWorker("p-0"), "plain")
     await site.add_relays(ZONES)
-    await until(lambda: max_share(site) >= 0.99, "a node with full authority")
+    await wait_until(lambda: max_share(site) >= 0.99, "a node with full authority")
     # The bucket starts empty and is certainly full after this time.
     await asyncio.sleep(1.1 * BURST / RATE)
 
@@ -47,7 +47,7 @@
     answers = []
     for number in range(first, first + count):
         name = ZONES[number % len(ZONES)]
-        answers.append(await site.ask("/stream/x", f"r{number}", name, **prompt(number)))
+        answers.append(await site.request("/stream/x", f"r{number}", name, **prompt(number)))
     return answers
 
 
@@ -75,7 +75,7 @@
         refused = answer if answer.status == 429 else None
         number += 1
     await asyncio.sleep(float(refused.headers["retry-after"]))
-    assert (await site.ask("/stream/x", "again", "z2", **prompt(99))).status == 200
+    assert (await site.request("/stream/x", "again", "z2", **prompt(99))).status == 200
 
 
 async def test_plain_requests_are_charged_their_fixed_cost(site):
@@ -86,7 +86,10 @@
         first = len(answers)
         assert first < 3000, "no request was over the limit"
         answers += await asyncio.gather(
-            *(site.ask("/plain/x", f"r{first + offset}", ZONES[offset % 3]) for offset in range(60))
+            *(
+                site.request("/plain/x", f"r{first + offset}", ZONES[offset % 3])
+                for offset in range(60)
+            )
         )
     seconds = asyncio.get_running_loop().time() - started_at
     served = sum(answer.status == 200 for answer in answers)
@@ -106,7 +109,9 @@
     while not any(answer.status == 200 for answer in answers[-2:]):
         number += 1
         assert number < 2000
-        answer = await site.ask("/stream/x", f"r{number}", live_nodes[number % 2], **prompt(number))
+        answer = await site.request(
+            "/stream/x", f"r{number}", live_nodes[number % 2], **prompt(number)
+        )
         answers.append(answer)
         await asyncio.sleep(0.02)
     await flood_live_nodes(site, live_nodes, number, 20, answers)
@@ -118,18 +123,20 @@
 async def flood_live_nodes(site: Site, live_nodes, first: int, count: int, answers: list) -> None:
     for number in range(first + 1, first + 1 + count):
         headers = prompt(number)
-        answers.append(await site.ask("/stream/x", f"r{number}", live_nodes[number % 2], **headers))
+        answers.append(
+            await site.request("/stream/x", f"r{number}", live_nodes[number % 2], **headers)
+        )
 
 
 async def test_lowered_and_removed_limits_are_applied(site):
     await start_fleet(site)
     site.configure(limited_configuration(2, rate=10, burst=TOKENS))
     node = site.nodes["z1"]
-    await until(lambda: node.configuration_version() == 2, "the lower limit")
+    await wait_until(lambda: node.configuration_version() == 2, "the lower limit")
     statuses = Counter(answer.status for answer in await flood(site, 0, 12))
     assert statuses[200] <= 2
     site.configure(configuration(3))
-    await until(
+    await wait_until(
         lambda: all(node.configuration_version() == 3 for node in site.nodes.values()), "no limit"
     )
     assert all(answer.status == 200 for answer in await flood(site, 100, 12))
@@ -139,7 +146,7 @@
     site.configure(limited_configuration())
     await site.add_worker(PlatformWorker("i-0", model="m"), "engines")
     await site.add_node("n1")
-    await site.ready()
-    answers = [await site.ask("/stream/x", f"r{n}", **prompt(n)) for n in range(20)]
+    await site.wait_until_ready()
+    answers = [await site.request("/stream/x", f"r{n}", **prompt(n)) for n in range(20)]
     statuses = Counter(answer.status for answer in answers)
     assert statuses[429] >= 5
--- a/tests/probe/forwarding/test_turned_away_node.py
+++ b/tests/probe/forwarding/test_turned_away_node.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from standins.platform_site import Site, until
+from standins.platform_site import Site, wait_until
 from standins.platform_worker import PlatformWorker
 from tests.probe.forwarding.test_path import PROMPT
 
@@ -21,15 +21,17 @@
     await site.add_worker(worker, service)
     await site.add_relays(ZONES, contact_ms=CONTACT_MS, weights_deadline_ms=WEIGHTS_DEADLINE_MS)
     first = site.nodes["z1"]
-    await until(lambda: first.gauge("followers") == 2, "the others follow z1")
+    await wait_until(lambda: first.gauge("followers") == 2, "the others follow z1")
 
 
 async def cut_off(site: Site, name: str) -> None:
     """Disconnect one node from the store, and wait until another node reads the store."""
-    site.cut_from_store(name)
+    site.disconnect_from_store(name)
     site.store.server.reset_all()
     site.store.calls.clear()
-    await until(lambda: ("GET", "/kv-watch") in site.store.calls, "another node reads the store")
+    await wait_until(
+        lambda: ("GET", "/kv-watch") in site.store.calls, "another node reads the store"
+    )
 
 
 def messages(caplog) -> list[str]:
@@ -43,7 +45,7 @@
         site.model.remove("servers/i-1")
         for zone in ZONES:
             node = site.nodes[zone]
-            await until(lambda node=node: not node.worker_ids(), f"{zone} removes it")
+            await wait_until(lambda node=node: not node.worker_ids(), f"{zone} removes it")
         assert "engine_doubtful" not in messages(caplog)
 
 
@@ -56,12 +58,12 @@
     # The worker refuses to load this unknown version and keeps version 1.
     site.model.put("op/version/m", b'{"model_id":"m","version":2}')
     deadline = time.monotonic() + WEIGHTS_DEADLINE_MS / 1000
-    answers = [await site.ask("/stream/x", f"early-{zone}", zone, **PROMPT) for zone in ZONES]
+    answers = [await site.request("/stream/x", f"early-{zone}", zone, **PROMPT) for zone in ZONES]
     assert [answer.status for answer in answers] == [200] * 3
     await cut_off(site, "z1")
     await asyncio.sleep(deadline - time.monotonic())
     for round_number in range(4):
         for zone in ZONES:
-            await site.ask("/stream/x", f"late-{round_number}-{zone}", zone, **PROMPT)
+            await site.request("/stream/x", f"late-{round_number}-{zone}", zone, **PROMPT)
         await asyncio.sleep(0.3)
     assert [(run.request_id, run.version) for run in worker.runs[3:]] == []
--- a/tests/probe/forwarding/test_unusable_entries.py
+++ b/tests/probe/forwarding/test_unusable_entries.py
@@ -35,18 +35,20 @@
     affected = await site.add_worker(PlatformWorker("i-1", born=BORN), "plain")
     await site.add_worker(PlatformWorker("i-2", born=BORN), "plain")
     node = await site.add_node()
-    await site.ready()
+    await site.wait_until_ready()
     used, version = [], 1
     for entry in invalid_entries(affected):
         site.model.put("servers/i-1", entry)
-        await site.until_current(version + 1)
+        await site.configure_and_wait(version + 1)
         arrivals_before = len(affected.arrivals)
-        answers = [await site.ask("/safe/x", f"spoilt-{version}-{number}") for number in range(4)]
+        answers = [
+            await site.request("/safe/x", f"spoilt-{version}-{number}") for number in range(4)
+        ]
         assert [answer.status for answer in answers] == [200] * 4
         if len(affected.arrivals) > arrivals_before or node.accepts_new_requests("i-1"):
             used.append(entry[:80])
-        site.enter(affected, "plain")
-        await site.until_current(version + 2)
+        site.write_entry(affected, "plain")
+        await site.configure_and_wait(version + 2)
         assert node.accepts_new_requests("i-1"), "a valid entry puts it into use again"
         version += 2
     assert used == []
--- a/tests/probe/forwarding/test_worker_limits.py
+++ b/tests/probe/forwarding/test_worker_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.platform_site import until
+from standins.platform_site import wait_until
 from standins.platform_worker import WorkerFaults
 from tests.probe.forwarding.test_path import PROMPT
 from tests.probe.forwarding.test_said_in_answers import (
@@ -72,7 +72,7 @@
 async def test_nodes_together_stay_within_worker_limit(site, zones, limit):
     await start_site(site, zones)
     limited = site.workers["i-0"]
-    limited.limit = limit
+    limited.announced_limit = limit
     traffic = Traffic(site, zones)
     await traffic.run(CONTACT_SECONDS + WINDOW_SECONDS)
     assert max_requests_in_window(traffic, limited) <= max_requests(float(limit))
@@ -98,7 +98,7 @@
 async def test_only_worker_receives_its_limit_and_no_more(site):
     await start_site(site, THREE_ZONES, workers=1)
     limited = site.workers["i-0"]
-    limited.limit = "10"
+    limited.announced_limit = "10"
     traffic = Traffic(site, THREE_ZONES)
     await run_until_limit_used(traffic, [limited], 10.0)
     refused = [request.answer for request in traffic.sent.values() if request.answer.status != 200]
@@ -110,7 +110,7 @@
 async def test_streams_with_shared_prompt_stay_within_all_worker_limits(site):
     await start_site(site, THREE_ZONES, "engines")
     for worker in site.workers.values():
-        worker.limit = "4"
+        worker.announced_limit = "4"
     traffic = Traffic(site, THREE_ZONES, "/stream/x", **PROMPT)
     await run_until_limit_used(traffic, list(site.workers.values()), 4.0)
 
@@ -122,15 +122,15 @@
 
 async def until_all_nodes_have_limited(site, limited: int) -> None:
     for zone in site.nodes:
-        await until(
+        await wait_until(
             lambda zone=zone: has_limited_workers(site, zone, limited), f"{zone} has the limit"
         )
 
 
 async def test_limit_received_by_one_node_reaches_all_nodes(site):
     await start_site(site, SIX_ZONES, workers=1)
-    site.workers["i-0"].limit = "2.5"
-    await site.ask("/plain/x", "first", "z4")
+    site.workers["i-0"].announced_limit = "2.5"
+    await site.request("/plain/x", "first", "z4")
     await until_all_nodes_have_limited(site, 1)
     assert len(site.workers["i-0"].arrivals) == 1
 
@@ -138,10 +138,10 @@
 async def test_limit_is_lifted_when_no_longer_announced(site):
     await start_site(site, SIX_ZONES, workers=1)
     limited = site.workers["i-0"]
-    limited.limit = "2"
+    limited.announced_limit = "2"
     traffic = Traffic(site, SIX_ZONES)
     await traffic.run(1.5)
-    limited.limit = ""
+    limited.announced_limit = ""
     before = len(limited.arrivals)
     traffic_task = asyncio.create_task(traffic.run(4.0))
     await until_all_nodes_have_limited(site, 0)
@@ -152,7 +152,7 @@
 async def test_limit_in_503_responses_is_applied(site):
     await start_site(site, THREE_ZONES)
     limited = site.workers["i-0"]
-    limited.limit = "1"
+    limited.announced_limit = "1"
     limited.faults = WorkerFaults(shed=10_000)
     await Traffic(site, THREE_ZONES).run(1.0)
     before = len(limited.arrivals)
@@ -165,14 +165,14 @@
 async def test_limit_does_not_apply_to_new_incarnation(site):
     await start_site(site, THREE_ZONES)
     worker = site.workers["i-0"]
-    worker.limit = "0.5"
+    worker.announced_limit = "0.5"
     traffic = Traffic(site, THREE_ZONES)
     await traffic.run(1.0)
-    worker.limit = ""
+    worker.announced_limit = ""
     worker.born += 1000
-    site.enter(worker, "plain")
+    site.write_entry(worker, "plain")
     for node in site.nodes.values():
-        await until(
+        await wait_until(
             lambda node=node: node.accepts_new_requests("i-0"), "the new incarnation is in use"
         )
     before = len(worker.arrivals)
@@ -186,7 +186,7 @@
     dispatcher = site.nodes[next(zone for zone in THREE_ZONES if is_first_relay(site, zone))]
     monkeypatch.setattr(dispatcher._registry.limits, "count_report", lambda report: False)
     limited = site.workers["i-0"]
-    limited.limit = "1"
+    limited.announced_limit = "1"
     others = [zone for zone in THREE_ZONES if site.nodes[zone] is not dispatcher]
     traffic = Traffic(site, others)
     await traffic.run(CONTACT_SECONDS + WINDOW_SECONDS)
@@ -203,16 +203,16 @@
     """The restarted node must use the dispatcher, which has received the limit."""
     await start_site(site, THREE_ZONES, workers=1)
     limited = site.workers["i-0"]
-    limited.limit = "1"
+    limited.announced_limit = "1"
     await Traffic(site, THREE_ZONES).run(0.5)
     await until_all_nodes_have_limited(site, 1)
     last_relay = next(
         zone for zone in THREE_ZONES if relay_position(site, zone) == len(THREE_ZONES) - 1
     )
     await site.restart_node(last_relay)
-    await site.ready(last_relay)
+    await site.wait_until_ready(last_relay)
     answers = [
-        await site.ask("/plain/x", f"again-{number}", last_relay) for number in range(ATTEMPTS)
+        await site.request("/plain/x", f"again-{number}", last_relay) for number in range(ATTEMPTS)
     ]
     assert 200 in {answer.status for answer in answers}
     assert has_limited_workers(site, last_relay, 1)
@@ -231,10 +231,10 @@
 @pytest.mark.parametrize("value", ["soon", "-4", "1e400", "nan", "3 s", "9" * 400])
 async def test_invalid_or_very_large_limit_restricts_nothing(site, value):
     await start_site(site, ONE_ZONE, workers=1)
-    site.workers["i-0"].limit = value
+    site.workers["i-0"].announced_limit = value
     # These use up the initially empty bucket of the limit with very many digits.
     for request_id in ("first", "second"):
-        await site.ask("/plain/x", request_id, "z1")
+        await site.request("/plain/x", request_id, "z1")
     traffic = Traffic(site, ONE_ZONE)
     await traffic.run(0.5)
     assert len(traffic.sent) > CALLERS
--- a/tests/unit/forwarding/test_soak_judge.py
+++ b/tests/unit/forwarding/test_soak_judge.py
@@ -26,7 +26,7 @@
     Strike,
 )
 from bench.forwarding_soak import Soak
-from standins.platform_worker import PlatformWorker, RestAsked, Run
+from standins.platform_worker import BackoffRequest, PlatformWorker, Run
 
 
 @pytest.fixture
@@ -387,7 +387,7 @@
 
 
 def rested(record, *arrivals):
-    record.workers["p0"].rests.append(RestAsked("r0", 1.0, "3"))
+    record.workers["p0"].backoff_requests.append(BackoffRequest("r0", 1.0, "3"))
     asked(record, "r0", 0.9)
     for number, at in enumerate(arrivals):
         asked(record, f"r{number + 1}", at - 0.01)
