--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -122,7 +122,7 @@
             item = self.items.get(condition["tls_key"])
             if (item.revision if item else 0) != condition["revision"]:
                 current_items = [self.items.get(row["tls_key"]) for row in expected]
-                return 412, {"items": [item.document() for item in current_items if item]}
+                return 412, {"items": [current.document() for current in current_items if current]}
         puts = document.get("put", [])
         if any(put.get("lease") and put["lease"] not in self._leases for put in puts):
             return 404, {"error": "no such lease"}
