--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,7 @@
-"""The demo: stand-ins, two nodes, one streamed and one plain request, a cache hit."""
+"""Demo of two nodes and two stand-in engines: streamed and plain requests, and a cache hit.
+
+The demo of a forwarding node follows. With ``-v``, the logs of the nodes are printed.
+"""
 
 import contextlib
 import json
@@ -11,40 +14,46 @@
 from standins.cluster import Cluster, EngineSpec, NodeSpec, read_events
 
 API_KEY = "thibodeau-key"
-LONG_LOG = "Item log, stadium weekend: umbrella, ring, scarf, left glove. " * 200
+SHARED_PROMPT = "Item log, stadium weekend: umbrella, ring, scarf, left glove. " * 200
 _HEADERS = {"Authorization": f"Bearer {API_KEY}"}
 
 
 class StepFailed(Exception):
-    """A step of the demo did not do what it should."""
+    """Raised when a step of the demo fails."""
 
 
 @contextlib.contextmanager
 def step(name: str) -> Iterator[None]:
-    """Name the step that fails."""
+    """Print the name of a step and add it to any error raised within the step.
+
+    :raises StepFailed: if the step raises any exception.
+    """
     print(f"== {name}")
     try:
         yield
-    except Exception as error:
-        raise StepFailed(f"step failed: {name}: {error!r}") from error
+    except Exception as exc:
+        raise StepFailed(f"step failed: {name}: {exc!r}") from exc
 
 
 def chat_body(question: str, stream: bool) -> dict:
-    """Return a chat about the long log."""
+    """Return the body of a chat request with a long shared prompt and a question."""
     return {
         "model": "lookup",
         "stream": stream,
         "stream_options": {"include_usage": True},
         "max_tokens": 8,
         "messages": [
-            {"role": "system", "content": LONG_LOG},
+            {"role": "system", "content": SHARED_PROMPT},
             {"role": "user", "content": question},
         ],
     }
 
 
-def streamed(cluster: Cluster, node: str, question: str) -> dict:
-    """Send a streamed chat, print its text and return its usage."""
+def send_streamed(cluster: Cluster, node: str, question: str) -> dict:
+    """Send a streamed chat, print the generated text and return the token usage.
+
+    :raises StepFailed: if the response is not a complete success.
+    """
     response = cluster.http.request(
         "POST",
         f"http://{cluster.callers(node)}/v1/chat/completions",
@@ -56,38 +65,46 @@
     if response.status != 200 or events[-1] != "[DONE]":
         raise StepFailed(f"status {response.status}, events {events}")
     chunks = [json.loads(data) for data in events[:-1]]
-    texts = [one["choices"][0]["delta"].get("content", "") for one in chunks if one["choices"]]
+    texts = [
+        chunk["choices"][0]["delta"].get("content", "") for chunk in chunks if chunk["choices"]
+    ]
     print(f"   {node} streamed:{''.join(texts)}")
     return chunks[-1]["usage"]
 
 
-def plain(cluster: Cluster, node: str, question: str) -> dict:
-    """Send a plain chat, print its text and return its usage."""
+def send_plain(cluster: Cluster, node: str, question: str) -> dict:
+    """Send a plain chat, print the generated text and return the token usage.
+
+    :raises StepFailed: if the response is not a complete success.
+    """
     body = chat_body(question, False)
     body.pop("stream_options")
     url = f"http://{cluster.callers(node)}/v1/chat/completions"
     response = cluster.http.request("POST", url, json=body, headers=_HEADERS)
     if response.status != 200:
         raise StepFailed(f"status {response.status}: {response.data!r}")
-    answer = response.json()
-    print(f"   {node} answered:{answer['choices'][0]['message']['content']}")
-    return answer["usage"]
+    document = response.json()
+    print(f"   {node} answered:{document['choices'][0]['message']['content']}")
+    return document["usage"]
 
 
-def show(cluster: Cluster, usage: dict) -> None:
-    """Print who served the latest request and what was cached."""
-    run = cluster.runs("finished")[-1]
+def print_usage(cluster: Cluster, usage: dict) -> None:
+    """Print which engine served the latest request and how many prompt tokens were cached."""
+    latest_run = cluster.runs("finished")[-1]
     engine = next(
         engine["name"]
         for engine in cluster.status("node-1")["engines"]
-        if engine["incarnation"] == run["incarnation"]
+        if engine["incarnation"] == latest_run["incarnation"]
     )
     cached = usage["prompt_tokens_details"]["cached_tokens"]
     print(f"   served by {engine}; {cached} of {usage['prompt_tokens']} prompt tokens cached")
 
 
-def run(cluster: Cluster) -> None:
-    """Carry out the steps."""
+def run_steps(cluster: Cluster) -> None:
+    """Run the steps of the demo.
+
+    :raises StepFailed: if a step fails.
+    """
     with step(
         "start stand-ins (key-value, machine list, weight store, 2 engines in 2 zones), 2 nodes"
     ):
@@ -97,18 +114,18 @@
     with step("nodes find the engines"):
         cluster.wait_engines(2)
     with step("a streamed chat completion on a long log"):
-        show(cluster, streamed(cluster, "node-1", "Is there a ring?"))
+        print_usage(cluster, send_streamed(cluster, "node-1", "Is there a ring?"))
     with step("a plain one on the same log, through the other node: its prefix is cached"):
-        usage = plain(cluster, "node-2", "Is there a scarf?")
-        show(cluster, usage)
+        usage = send_plain(cluster, "node-2", "Is there a scarf?")
+        print_usage(cluster, usage)
         if usage["prompt_tokens_details"]["cached_tokens"] == 0:
-            raise StepFailed("the second request found nothing cached")
+            raise StepFailed("no prompt tokens of the second request were cached")
     with step("status"):
         print(cluster.command("status", "--node", cluster.operators("node-2")).rstrip())
 
 
 def main() -> int:
-    """Run the demo; returns the exit status."""
+    """Run the demo and return the exit status."""
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster(
             pathlib.Path(directory),
@@ -116,9 +133,9 @@
             [NodeSpec("node-1", "worcester"), NodeSpec("node-2", "providence")],
         )
         try:
-            run(cluster)
-        except StepFailed as error:
-            print(error, file=sys.stderr)
+            run_steps(cluster)
+        except StepFailed as exc:
+            print(exc, file=sys.stderr)
             return 1
         finally:
             cluster.stop()
--- a/scripts/forwarding_demo.py
+++ b/scripts/forwarding_demo.py
@@ -1,6 +1,6 @@
-"""The demo's second part: a real forwarding node before stand-ins of the platform.
+"""Demo of a forwarding node with stand-in workers and a stand-in store.
 
-One plain and one streamed request, then a change of configuration and one of weights.
+It sends a plain and a streamed request, then changes the configuration and the model weights.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from standins.platform_worker import PlatformWorker
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-PROMPT = {
+PROMPT_HEADERS = {
     "Wheelslip_Model_Id": "model",
     "Wheelslip_Token_Usage": "300,4",
     "Wheelslip_Prefix_Hash": "aa:100,bb:100,cc:100",
@@ -24,17 +24,17 @@
 async def _start_node(site: Site) -> asyncio.subprocess.Process:
     site.addresses["node-1"] = f"127.0.0.1:{free_port()}"
     site.readiness["node-1"] = f"127.0.0.1:{free_port()}"
-    environment = os.environ | {"WHEELSLIP_NODE_FILE": str(site.settings("node-1"))}
+    env = os.environ | {"WHEELSLIP_NODE_FILE": str(site.settings("node-1"))}
     return await asyncio.create_subprocess_exec(
         sys.executable,
         str(ROOT / "deploy" / "node.py"),
-        env=environment,
+        env=env,
         stdout=asyncio.subprocess.DEVNULL,
     )
 
 
-async def _serves(site: Site, path: str, status: int) -> None:
-    """Wait until a path is answered with a status."""
+async def _wait_for_status(site: Site, path: str, status: int) -> None:
+    """Wait until requests to a path return a status."""
     while True:
         try:
             if (await site.ask(path, "probe", "node-1")).status == status:
@@ -44,38 +44,40 @@
         await asyncio.sleep(0.05)
 
 
-async def _steps(site: Site) -> None:
+async def _run_steps(site: Site) -> None:
     site.configure()
     site.name_weights("model", 1)
     await site.add_worker(PlatformWorker("plain-1"), "plain")
     engine = await site.add_worker(PlatformWorker("engine-1", model="model"), "engines")
-    await _serves(site, "/plain/", 200)
+    await _wait_for_status(site, "/plain/", 200)
     print("== a forwarded plain request")
-    answer = await site.ask("/plain/notice", "request-1", "node-1")
-    print(f"   {answer.status}: {answer.body.decode()}")
+    response = await site.ask("/plain/notice", "request-1", "node-1")
+    print(f"   {response.status}: {response.body.decode()}")
     print("== a forwarded stream")
-    answer = await site.ask("/stream/match", "request-2", "node-1", **PROMPT)
-    print(f"   {answer.status}: {answer.body.count(b'data:')} events, whole: {answer.complete}")
+    response = await site.ask("/stream/match", "request-2", "node-1", **PROMPT_HEADERS)
+    print(
+        f"   {response.status}: {response.body.count(b'data:')} events, whole: {response.complete}"
+    )
     print("== a new configuration moves the route")
     site.configure(configuration(2, routes=[PLAIN | {"path_prefix": "/moved/"}]))
-    await _serves(site, "/moved/", 200)
-    print(f"   /moved/ is served, /plain/ answers {(await _status(site, '/plain/'))}")
+    await _wait_for_status(site, "/moved/", 200)
+    print(f"   /moved/ is served, /plain/ answers {(await _request_status(site, '/plain/'))}")
     print("== new weights are named")
     site.name_weights("model", 2)
     await until(lambda: engine.version == 2, "the engine has version 2")
     print(f"   engine-1 took version 2 by order {engine.orders[0]}")
 
 
-async def _status(site: Site, path: str) -> int:
+async def _request_status(site: Site, path: str) -> int:
     return (await site.ask(path, "request-3", "node-1")).status
 
 
-async def _demo(folder: pathlib.Path) -> None:
-    site = await Site(folder).start()
+async def _run_demo(directory: pathlib.Path) -> None:
+    site = await Site(directory).start()
     process = await _start_node(site)
     try:
         async with asyncio.timeout(60):
-            await _steps(site)
+            await _run_steps(site)
         process.send_signal(signal.SIGTERM)
         print(f"== planned stop: exit status {await process.wait()}")
     finally:
@@ -85,9 +87,9 @@
 
 
 def main() -> None:
-    """Run the demo in a temporary folder."""
-    with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(_demo(pathlib.Path(folder)))
+    """Run the demo in a temporary directory."""
+    with tempfile.TemporaryDirectory() as directory:
+        asyncio.run(_run_demo(pathlib.Path(directory)))
 
 
 if __name__ == "__main__":
--- a/scripts/generate_error_page.py
+++ b/scripts/generate_error_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/ERRORS.md from the error table."""
+"""Generates ``docs/ERRORS.md`` from the error table."""
 
 import pathlib
 
@@ -27,12 +27,12 @@
 
 
 def render() -> str:
-    """Return the page."""
+    """Return the Markdown text of the page."""
     rows = [
-        f"| `{kind.value}` | {answer.status} | `{answer.run_state.value}` | "
-        f"{'yes' if answer.retry else 'no'} | {answer.retry_after_seconds or '-'} | "
-        f"{answer.meaning} |"
-        for kind, answer in ERROR_TABLE.items()
+        f"| `{kind.value}` | {definition.status} | `{definition.run_state.value}` | "
+        f"{'yes' if definition.retry else 'no'} | {definition.retry_after_seconds or '-'} | "
+        f"{definition.meaning} |"
+        for kind, definition in ERROR_TABLE.items()
     ]
     return _INTRODUCTION + "\n".join(rows) + "\n"
 
--- a/scripts/generate_journal_index.py
+++ b/scripts/generate_journal_index.py
@@ -1,4 +1,4 @@
-"""Writes journal/README.md: which entries there are, by site, command, commit and trial."""
+"""Generates ``journal/README.md``, the index of journal entries by site, command and commit."""
 
 import json
 import pathlib
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-FOLDER = pathlib.Path(__file__).resolve().parent.parent / "journal"
+JOURNAL_DIRECTORY = pathlib.Path(__file__).resolve().parent.parent / "journal"
 
 _INTRODUCTION = """# Entries of played days
 
@@ -22,17 +22,20 @@
 |---|---|---|---|---|---|---|
 """
 
-MOST_IDS = 4
-"""Ids that a row names; of more it names the first and the last, by time."""
+MAX_IDS_PER_ROW = 4
+"""Rows with more entries show only the first and the last id."""
 
-COMMIT_DIGITS = 7
+COMMIT_HASH_DIGITS = 7
 
 
 class Entry(NamedTuple):
-    """What the index shows of one entry.
+    """Fields of a journal entry that the index shows.
 
-    :ivar worths: of its days; empty for a run that was ended before it was over.
-    :ivar broken: number of its days with a broken rule or a fault.
+    :ivar began: start time, ISO 8601.
+    :ivar commit: abbreviated hash, followed by ``+`` if the sources differed from the commit.
+    :ivar why: reason for the run; empty if none was given.
+    :ivar scores: score of each completed day; empty for a run that was ended early.
+    :ivar failed_days: number of completed days with a broken rule or a fault.
     """
 
     id: str
@@ -41,18 +44,21 @@
     command: str
     commit: str
     why: str
-    worths: tuple[float, ...]
-    broken: int
+    scores: tuple[float, ...]
+    failed_days: int
 
 
-def read(folder: pathlib.Path) -> list[Entry]:
-    """Return the entries of a folder, the oldest first."""
-    documents = [json.loads(path.read_text()) for path in folder.glob("*.json")]
-    return sorted((_entry(one) for one in documents), key=lambda one: (one.began, one.id))
+def read_entries(directory: pathlib.Path) -> list[Entry]:
+    """Return the entries of a directory in order of their start times."""
+    documents = [json.loads(path.read_text()) for path in directory.glob("*.json")]
+    return sorted(
+        (_parse_entry(document) for document in documents),
+        key=lambda entry: (entry.began, entry.id),
+    )
 
 
-def _entry(document: dict) -> Entry:
-    commit = (document["head"] or "none")[:COMMIT_DIGITS] + ("+" if document["dirty"] else "")
+def _parse_entry(document: dict) -> Entry:
+    commit = (document["head"] or "none")[:COMMIT_HASH_DIGITS] + ("+" if document["dirty"] else "")
     days = [day for day in document["days"] or [] if day.get("G") is not None]
     return Entry(
         document["id"],
@@ -67,31 +73,31 @@
 
 
 def render(entries: Iterable[Entry]) -> str:
-    """Return the page: a table for each site, a row for each command, commit and reason."""
+    """Return the index: a table per site with a row per command, commit and reason."""
     sites: dict[str, dict[tuple, list[Entry]]] = defaultdict(lambda: defaultdict(list))
-    for one in entries:
-        sites[one.site][one.command, one.commit, one.why].append(one)
+    for entry in entries:
+        sites[entry.site][entry.command, entry.commit, entry.why].append(entry)
     page = _INTRODUCTION
     for site, groups in sorted(sites.items()):
-        rows = [_row(*key, group) for key, group in groups.items()]
+        rows = [_render_row(*key, group) for key, group in groups.items()]
         page += f"\n## {site}\n{_HEADER}" + "\n".join(rows) + "\n"
     return page
 
 
-def _row(command: str, commit: str, why: str, group: list[Entry]) -> str:
-    worths = [worth for one in group for worth in one.worths]
-    mean = f"{statistics.fmean(worths):.3f}" if worths else "-"
-    broken = sum(one.broken for one in group)
+def _render_row(command: str, commit: str, why: str, group: list[Entry]) -> str:
+    scores = [score for entry in group for score in entry.scores]
+    mean = f"{statistics.fmean(scores):.3f}" if scores else "-"
+    failed_days = sum(entry.failed_days for entry in group)
     reason = " ".join(why.split()).replace("|", "\\|") or "-"
-    ids = _ids(group)
-    return f"| {command} | {commit} | {reason} | {len(worths)} | {mean} | {broken} | {ids} |"
+    ids = _render_ids(group)
+    return f"| {command} | {commit} | {reason} | {len(scores)} | {mean} | {failed_days} | {ids} |"
 
 
-def _ids(group: list[Entry]) -> str:
-    if len(group) <= MOST_IDS:
-        return ", ".join(one.id for one in group)
+def _render_ids(group: list[Entry]) -> str:
+    if len(group) <= MAX_IDS_PER_ROW:
+        return ", ".join(entry.id for entry in group)
     return f"{len(group)}: {group[0].id} to {group[-1].id}"
 
 
 if __name__ == "__main__":
-    (FOLDER / "README.md").write_text(render(read(FOLDER)))
+    (JOURNAL_DIRECTORY / "README.md").write_text(render(read_entries(JOURNAL_DIRECTORY)))
--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -1,7 +1,7 @@
-"""Shows that each proof fails without its mechanism.
+"""Mutation checks: disables one mechanism at a time and verifies that a test fails without it.
 
-For every mutation below, a copy of the source has one mechanism taken out; the named test
-must then fail. A test that still passes proves nothing and makes this script exit 1.
+Each mutation edits a copy of the source and runs one test against it. If any of these tests
+does not fail, the exit status is 1.
 """
 
 import os
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-BUILD = ROOT / "build" / "mutants"
+MUTANTS_DIRECTORY = ROOT / "build" / "mutants"
 
 FORWARDING = 0
-"""Stands for a rule of the users' platform in place of the number of a promise."""
+"""Used in place of a guarantee number by mutations of a forwarding node."""
 
 
 @dataclass(frozen=True)
@@ -29,61 +29,65 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """A mechanism taken out, and the test that must notice."""
+    """Edits that disable one mechanism, and the test that must then fail.
+
+    :ivar guarantee: number of the guarantee that the test checks, or :data:`FORWARDING`.
+    :ivar test: pytest node id.
+    """
 
     name: str
-    promise: int
+    guarantee: int
     edits: tuple[Edit, ...]
     test: str
 
 
-def _one(name: str, promise: int, file: str, old: str, new: str, test: str) -> Mutation:
-    return Mutation(name, promise, (Edit(file, old, new),), f"tests/probe/{test}")
+def _single_edit(name: str, guarantee: int, file: str, old: str, new: str, test: str) -> Mutation:
+    return Mutation(name, guarantee, (Edit(file, old, new),), f"tests/probe/{test}")
 
 
 MUTATIONS = (
-    _one(
-        "incarnation not demanded",
+    _single_edit(
+        "engine incarnation header not sent",
         1,
         "engines/client.py",
         '"X-Engine-Incarnation": engine.incarnation,',
         "",
         "test_cached_state.py::test_restarted_engine_refuses_its_old_incarnation_and_is_discovered",
     ),
-    _one(
-        "weights version not in the salt",
+    _single_edit(
+        "weights version missing from the cache salt",
         1,
         "routing/prefix.py",
         "(tenant, model, weights_version)",
         "(tenant, model)",
         "test_cached_state.py::test_weights_changed_before_arrival_do_not_use_the_old_cache",
     ),
-    _one(
-        "tenant not in the salt",
+    _single_edit(
+        "tenant missing from the cache salt",
         1,
         "routing/prefix.py",
         "(tenant, model, weights_version)",
         "(model, weights_version)",
         "test_cached_state.py::test_tenants_with_identical_prompts_do_not_share_cached_state",
     ),
-    _one(
-        "no resume after a cut",
+    _single_edit(
+        "stream not resumed after a lost connection",
         2,
         "callers/attempt.py",
         "stream = self._resume(str(error))\n\n    def _resume",
         "raise AttemptLost(str(error)) from error\n\n    def _resume",
         "test_streams.py::test_connection_cut_at_any_byte",
     ),
-    _one(
-        "continuation forgets what was delivered",
+    _single_edit(
+        "continuation omits the delivered tokens",
         2,
         "callers/call.py",
         "if not delivered.tokens:\n            return document",
         "if document:\n            return document",
         "test_streams.py::test_engine_killed_mid_stream_continues_elsewhere",
     ),
-    _one(
-        "stream ends in silence",
+    _single_edit(
+        "failed stream ends without an error event",
         2,
         "callers/answer.py",
         'yield b"id: %d\\nevent: error\\ndata: %s\\n\\n" % (event_id + 1, body)',
@@ -91,7 +95,7 @@
         "test_streams.py::test_last_engine_killed_mid_stream_ends_in_an_explicit_error",
     ),
     Mutation(
-        "peers not asked at boot",
+        "configuration not pulled from peers at startup",
         3,
         (
             Edit("operators/task.py", "for seed in self._seeds\n", "for seed in ()\n"),
@@ -103,40 +107,40 @@
         ),
         "tests/probe/test_restart.py::test_all_nodes_of_a_zone_restart_while_the_service_is_unreachable",
     ),
-    _one(
-        "request id of an answer not checked",
+    _single_edit(
+        "request id of a response not checked",
         4,
         "engines/client.py",
         "if echoed != attempt_id:",
         "if echoed is None:",
         "test_own_answer.py::test_two_answers_swapped_between_connections",
     ),
-    _one(
-        "only the last attempt counts",
+    _single_edit(
+        "run state taken from the last attempt only",
         5,
         "callers/relay.py",
         "self._may_have_run |= not not_run",
         "self._may_have_run = not not_run and self._delivered.tokens > 0",
         "test_not_run.py::test_not_run_is_true_under_changing_faults",
     ),
-    _one(
-        "a claim of another attempt is taken for one's own",
+    _single_edit(
+        "claim of another attempt accepted as own",
         6,
         "keyvalue/claims.py",
         "stored.record.attempt_id == record.attempt_id",
         "stored is not None",
         "test_at_most_once.py::test_same_key_at_all_nodes_at_the_same_time",
     ),
-    _one(
-        "no tombstone before a takeover",
+    _single_edit(
+        "no tombstone requested before a takeover",
         6,
         "callers/attempt.py",
         "state = self._client.tombstone(target.engine, target.attempt_id)",
         "state = AttemptState.NEVER_SEEN",
         "test_at_most_once.py::test_attempt_that_arrives_after_its_claim_passed_on_is_refused",
     ),
-    _one(
-        "a dead engine's claim is run again",
+    _single_edit(
+        "claimed request of a dead engine run again",
         6,
         "callers/attempt.py",
         'raise AttemptLost(f"{reason}; engine was replaced", engine_dead=True) from error\n'
@@ -145,23 +149,23 @@
         "        if error.status == GONE",
         "test_at_most_once.py::test_claimed_engine_dead_is_reported_and_never_run_again",
     ),
-    _one(
-        "machine list not heeded",
+    _single_edit(
+        "machine list ignored",
         7,
         "engines/directory.py",
         "drained or machine is None or machine.state is MachineState.LEAVING",
         "drained",
         "test_leaving.py::test_leaving_engine_gets_no_new_requests[leave_by_machine_list]",
     ),
-    _one(
-        "operator drain not heeded",
+    _single_edit(
+        "operator drain ignored",
         7,
         "engines/directory.py",
         "drained or machine is None",
         "machine is None",
         "test_leaving.py::test_leaving_engine_gets_no_new_requests[leave_by_operator_drain]",
     ),
-    _one(
+    _single_edit(
         "stop does not wait for running requests",
         8,
         "stopping.py",
@@ -169,16 +173,16 @@
         "lambda: True, 0.0",
         "test_planned_stop.py::test_requests_in_progress_finish_during_a_planned_stop",
     ),
-    _one(
-        "swap without expectation",
+    _single_edit(
+        "configuration head written without comparison",
         9,
         "operators/store.py",
         "Transaction({HEAD_KEY: expected}, _operations",
         "Transaction({}, _operations",
         "test_configuration.py::test_concurrent_changes_have_one_winner_and_the_others_conflict",
     ),
-    _one(
-        "no pull from peers",
+    _single_edit(
+        "configuration not pulled from peers",
         9,
         "operators/task.py",
         "if message.revision > self.held_revision:\n                self._pull",
@@ -189,40 +193,40 @@
 
 
 MUTATIONS += (
-    _one(
-        "home node not asked",
+    _single_edit(
+        "home node not queried",
         4,
         "routing/scheduler.py",
         "if not self._options.ask_home or uncached",
         "if self._options.ask_home or uncached",
         "test_own_answer.py::test_nodes_compute_a_cold_prefix_once_between_them",
     ),
-    _one(
-        "request id of a forwarded answer not checked",
+    _single_edit(
+        "request id of a forwarded response not checked",
         FORWARDING,
         "forwarding/attempt.py",
         "if answer.request_id in (None, self._job.request.metadata.request_id):",
         "if True:",
         "forwarding/test_failures.py::test_response_to_another_request_is_skipped",
     ),
-    _one(
-        "signature of a success not demanded",
+    _single_edit(
+        "unsigned successful response accepted",
         FORWARDING,
         "forwarding/attempt.py",
         "if succeeded and not answer.signed:",
         "if False:",
         "forwarding/test_failures.py::test_unsigned_success_returns_502",
     ),
-    _one(
-        "what may have run is told as not run",
+    _single_edit(
+        "attempt that may have run not recorded",
         FORWARDING,
         "forwarding/attempt.py",
         "job.may_have_run += 1",
         "job.may_have_run += 0",
         "forwarding/test_failures.py::test_lost_response_of_non_repeatable_request_runs_once_and_returns_502",
     ),
-    _one(
-        "what may not be repeated is repeated",
+    _single_edit(
+        "non-repeatable request retried",
         FORWARDING,
         "forwarding/forwarder.py",
         "if not job.route.repeatable or job.may_have_run >= job.route.max_attempts:",
@@ -230,80 +234,80 @@
         "forwarding/test_failures.py::test_lost_response_of_non_repeatable_request_runs_once"
         "_and_returns_502",
     ),
-    _one(
-        "repeats without a budget",
+    _single_edit(
+        "retries without a budget",
         FORWARDING,
         "forwarding/forwarder.py",
         "return budget.take_retry(self._clock())",
         "return True",
         "forwarding/test_failures.py::test_retries_stop_when_budget_is_exhausted",
     ),
-    _one(
-        "part of an event passed on",
+    _single_edit(
+        "incomplete stream event not detected",
         FORWARDING,
         "forwarding/event_stream.py",
         "return bool(self._buffer.strip())",
         "return False",
         "../unit/forwarding/test_event_stream.py::test_incomplete_event_is_buffered",
     ),
-    _one(
-        "caller's close not heeded",
+    _single_edit(
+        "caller disconnect ignored",
         FORWARDING,
         "forwarding/caller_connection.py",
         "            self._task.cancel()",
         "            pass",
         "forwarding/test_path.py::test_caller_disconnect_closes_connection_to_silent_worker",
     ),
-    _one(
-        "keys honoured by an old view",
+    _single_edit(
+        "API keys accepted from a stale view",
         FORWARDING,
         "forwarding/admission.py",
         "if self._registry.age() > max_age:",
         "if False:",
         "forwarding/test_store.py::test_keys_get_503_after_the_revocation_bound_while_the_store_is_unavailable",
     ),
-    _one(
-        "unknown routes refused by an old view",
+    _single_edit(
+        "unknown routes rejected from a stale view",
         FORWARDING,
         "forwarding/admission.py",
         "if self._registry.age() > MAX_VIEW_AGE_SECONDS:",
         "if False:",
         "forwarding/test_store.py::test_unknown_route_is_answered_with_503_while_the_view_is_stale",
     ),
-    _one(
-        "older revisions taken",
+    _single_edit(
+        "older revisions applied",
         FORWARDING,
         "forwarding/entry_log.py",
         "if revision <= self.revision_of(key):",
         "if False:",
         "../unit/forwarding/test_registry.py::test_older_change_of_a_key_is_ignored",
     ),
-    _one(
-        "vanished entries believed around trouble",
+    _single_edit(
+        "vanished entries removed at once during a store outage",
         FORWARDING,
         "forwarding/worker_view.py",
         "if doubtful_until is None or not ready:",
         "if True:",
         "forwarding/test_store.py::test_worker_whose_entry_vanishes_in_an_outage_stays_in_use",
     ),
-    _one(
-        "a worker's starts are one",
+    _single_edit(
+        "worker incarnations not distinguished",
         FORWARDING,
         "forwarding/worker_view.py",
         "elif info.id == current.info.id:",
         "elif True:",
         "forwarding/test_restarted_worker.py::test_no_request_reaches_the_departed_incarnation",
     ),
-    _one(
-        "an entry that names no worker is passed over",
+    _single_edit(
+        "unusable worker entry ignored",
         FORWARDING,
         "forwarding/registry.py",
         "self.view.mark_unusable(worker_id)",
         "pass",
         "forwarding/test_unusable_entries.py::test_worker_with_an_unusable_entry_gets_no_requests",
     ),
-    _one(
-        "a worker's starts are one, in random histories",
+    _single_edit(
+        "worker incarnations not distinguished, in random histories",
         FORWARDING,
         "forwarding/worker_view.py",
         "elif info.id == current.info.id:",
@@ -311,8 +315,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "an older start's late entry is taken at once",
+    _single_edit(
+        "late entry of an older incarnation applied at once",
         FORWARDING,
         "forwarding/worker_view.py",
         "if current is not None and info.born < current.info.born:",
@@ -320,8 +324,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "an entry that names no worker is passed over, in random histories",
+    _single_edit(
+        "unusable worker entry ignored, in random histories",
         FORWARDING,
         "forwarding/registry.py",
         "self.view.mark_unusable(worker_id)",
@@ -329,8 +333,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "connections outlive their start",
+    _single_edit(
+        "connections to a removed incarnation kept open",
         FORWARDING,
         "forwarding/worker_view.py",
         "self.on_removed(info.id)",
@@ -338,8 +342,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "a listing that is behind removes what is newer",
+    _single_edit(
+        "outdated listing removes newer entries",
         FORWARDING,
         "forwarding/registry.py",
         "if key not in entries and self.entry_log.revision_of(key) <= listing_revision:",
@@ -347,8 +351,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "removed keys are not remembered",
+    _single_edit(
+        "removed keys not recorded",
         FORWARDING,
         "forwarding/entry_log.py",
         "self._removed[key] = revision",
@@ -356,8 +360,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "removed keys that are forgotten are not told of",
+    _single_edit(
+        "discarded removals missing from an incremental update",
         FORWARDING,
         "forwarding/entry_log.py",
         "if revision < self._complete_from:",
@@ -365,8 +369,8 @@
         "../unit/forwarding/test_view_histories.py::"
         "test_nodes_send_only_what_the_newest_received_entry_allows",
     ),
-    _one(
-        "a forgotten removal is no removal",
+    _single_edit(
+        "discarded removal undone by an older listing",
         FORWARDING,
         "forwarding/entry_log.py",
         "if self._is_removed(key, revision):",
@@ -374,8 +378,8 @@
         "../unit/forwarding/test_entry_log.py::"
         "test_discarded_removal_is_not_undone_by_an_older_listing",
     ),
-    _one(
-        "a stalled process judges the store",
+    _single_edit(
+        "failed poll after a process stall recorded as a store failure",
         FORWARDING,
         "forwarding/registry_sync.py",
         "if stall.seconds() < STALL_SECONDS:",
@@ -383,8 +387,8 @@
         "forwarding/test_stalled_process.py::"
         "test_worker_that_departs_during_process_stall_is_removed_at_once",
     ),
-    _one(
-        "a view with a gap tells changes from inside it",
+    _single_edit(
+        "incremental update served from inside a revision gap",
         FORWARDING,
         "forwarding/entry_log.py",
         "if begin < revision < end:",
@@ -392,39 +396,39 @@
         "../unit/forwarding/test_removal_before_first_view.py::"
         "test_removal_before_the_first_view_of_a_polled_node_is_applied",
     ),
-    _one(
-        "a single node's failed calls are trouble of the store",
+    _single_edit(
+        "failed calls of a single node treated as a store outage",
         FORWARDING,
         "forwarding/store_health.py",
         "return self.confirmed_at is None or sent_at - self.confirmed_at >= seconds",
         "return True",
         "forwarding/test_turned_away_node.py::test_departed_worker_is_removed_at_once_by_all_nodes",
     ),
-    _one(
-        "requests begin too late",
+    _single_edit(
+        "requests not cancelled at the start deadline",
         FORWARDING,
         "forwarding/attempt.py",
         "        if remaining <= 0:",
         "        if False:",
         "forwarding/test_weights.py::test_request_queued_past_the_deadline_is_withdrawn",
     ),
-    _one(
-        "wall not in the salt",
+    _single_edit(
+        "cache namespace missing from the cache salt",
         FORWARDING,
         "forwarding/admission.py",
         "if tenant is not None and tenant.isolated:",
         "if False:",
         "forwarding/test_path.py::test_cache_salt_separates_isolated_tenants",
     ),
-    _one(
-        "expected instance not sent",
+    _single_edit(
+        "expected instance header not sent",
         FORWARDING,
         "platform/headers.py",
         "headers.append((EXPECT_INSTANCE, dispatch.worker.worker_id.encode()))",
         "pass",
         "forwarding/test_failures.py::test_other_incarnation_at_same_address_runs_nothing",
     ),
-    _one(
+    _single_edit(
         "stop does not wait for running requests",
         FORWARDING,
         "forwarding/node.py",
@@ -432,40 +436,40 @@
         "while self._clock() < closes_at:",
         "forwarding/test_planned_stop.py::test_running_requests_finish_and_readiness_fails_at_once",
     ),
-    _one(
-        "orders without the lease",
+    _single_edit(
+        "orders sent after the lease expired",
         FORWARDING,
         "forwarding/leased_key.py",
         "if self._token and self._clock() < self._valid_until:",
         "if self._token:",
         "../unit/forwarding/test_holder.py::test_token_expires_while_the_holder_is_suspended",
     ),
-    _one(
-        "a new holder orders at once where the last one has ordered",
+    _single_edit(
+        "new holder sends orders to recently ordered workers",
         FORWARDING,
         "forwarding/rollout.py",
         'return self._clock() >= self._order_allowed_at.get(worker_id, float("-inf"))',
         "return True",
         "forwarding/test_holder_faults.py::test_new_holder_waits_for_workers_ordered_by_the_last_one",
     ),
-    _one(
-        "crashes told to nobody",
+    _single_edit(
+        "crash reports never written",
         FORWARDING,
         "forwarding/crash_reports.py",
         "            await asyncio.sleep(COALESCE_SECONDS)\n",
         "            await asyncio.Event().wait()\n",
         "forwarding/test_crashing_requests.py::test_restarted_nodes_still_refuse_crashing_request",
     ),
-    _one(
-        "a lost answer taken for a crash",
+    _single_edit(
+        "lost response recorded as a crash",
         FORWARDING,
         "forwarding/crash_evidence.py",
         "        conn.close()\n        return False",
         "        conn.close()\n        return True",
         "forwarding/test_crashing_requests.py::test_lost_responses_of_live_workers_are_not_crashes",
     ),
-    _one(
-        "a whole run clears nothing",
+    _single_edit(
+        "completed run does not clear crashes",
         FORWARDING,
         "forwarding/crash_reports.py",
         "        self._ledger.clear(crashes)\n        for crash in crashes:",
@@ -473,8 +477,8 @@
         "../unit/forwarding/test_crash_reports.py"
         "::test_completed_run_of_free_fingerprint_is_written_after_another_crash",
     ),
-    _one(
-        "suspected contents run together",
+    _single_edit(
+        "trial lock granted while held by another request",
         FORWARDING,
         "forwarding/content_trials.py",
         "        return TrialLock(key, result.revision) if result.succeeded else None",
@@ -482,7 +486,7 @@
         "../unit/forwarding/test_content_trials.py::test_trial_lock_is_exclusive_until_released",
     ),
     Mutation(
-        "an engine's word that it leaves is not asked for",
+        "leaving notice of a worker ignored",
         FORWARDING,
         (
             Edit(
@@ -499,8 +503,8 @@
         "tests/probe/forwarding/test_said_in_answers.py"
         "::test_leaving_notice_stops_requests_of_forwarding_node",
     ),
-    _one(
-        "rest is asked for by no choice",
+    _single_edit(
+        "backoff ignored in worker choice",
         FORWARDING,
         "forwarding/assignment.py",
         "self._registry.withheld(service) | job.excluded",
@@ -508,8 +512,8 @@
         "forwarding/test_said_in_answers.py"
         "::test_backoff_of_only_worker_gives_callers_staggered_retry_times",
     ),
-    _one(
-        "rest is not looked at before the request is written",
+    _single_edit(
+        "backoff not checked before a request is sent",
         FORWARDING,
         "forwarding/forwarder.py",
         "if not self._registry.may_begin(worker.id, assignment.placement.rate_limit_charged):",
@@ -517,8 +521,8 @@
         "forwarding/test_said_in_answers.py"
         "::test_waiting_requests_are_not_sent_all_at_once_after_backoff",
     ),
-    _one(
-        "after a rest all come at once",
+    _single_edit(
+        "initial concurrency after a backoff not limited",
         FORWARDING,
         "routing/worker_notices.py",
         "INITIAL_CONCURRENCY = 1\n",
@@ -526,8 +530,8 @@
         "forwarding/test_said_in_answers.py"
         "::test_waiting_requests_are_not_sent_all_at_once_after_backoff",
     ),
-    _one(
-        "a view's age is looked at only between two polls",
+    _single_edit(
+        "store not probed during a poll",
         FORWARDING,
         "forwarding/registry_sync.py",
         "while not await self._poll_finished(poll):\n                await self._probe_store()\n",
@@ -535,8 +539,8 @@
         "forwarding/test_reader_cut_then_silent.py"
         "::test_removal_is_detected_in_time_when_store_link_and_feed_fail",
     ),
-    _one(
-        "silent peers are asked however long it takes",
+    _single_edit(
+        "peer polls without a timeout",
         FORWARDING,
         "forwarding/registry_sync.py",
         "async with asyncio.timeout(PEER_POLLS_TIMEOUT_SECONDS):",
@@ -544,16 +548,16 @@
         "../unit/forwarding/test_silent_peers.py"
         "::test_unresponsive_peers_do_not_delay_the_next_store_call",
     ),
-    _one(
-        "one renewal that gets no answer ends a lease",
+    _single_edit(
+        "unanswered lease renewal not retried",
         FORWARDING,
         "forwarding/leased_key.py",
         "for timeout in (retry_after_seconds, None):",
         "for timeout in (None,):",
         "../unit/forwarding/test_lost_renewal.py::test_lease_survives_one_unanswered_renewal",
     ),
-    _one(
-        "after a rest the number doubles with each request served",
+    _single_edit(
+        "concurrency after a backoff doubled by each served request",
         FORWARDING,
         "routing/worker_notices.py",
         "backoff.max_in_flight += 1\n",
@@ -561,16 +565,16 @@
         "../unit/forwarding/test_worker_notices.py"
         "::test_concurrency_after_backoff_doubles_each_round",
     ),
-    _one(
-        "a later, shorter rest takes an earlier one back",
+    _single_edit(
+        "backoff shortened by a later one with an earlier end",
         FORWARDING,
         "routing/worker_notices.py",
         "if not until > now or (current is not None and until <= current.until):",
         "if not until > now:",
         "../unit/forwarding/test_worker_notices.py::test_latest_end_of_several_backoffs_applies",
     ),
-    _one(
-        "a start that left comes up again by a late entry",
+    _single_edit(
+        "removed incarnation restored by a late entry",
         FORWARDING,
         "forwarding/worker_view.py",
         "departed is not None and info.born <= departed",
@@ -578,32 +582,32 @@
         "../unit/forwarding/test_start_that_left.py"
         "::test_late_entry_does_not_restore_a_removed_incarnation",
     ),
-    _one(
-        "a verdict waits for no news",
+    _single_edit(
+        "refusal not delayed for reports of other nodes",
         FORWARDING,
         "routing/crash_ledger.py",
         "REPORT_WAIT_SECONDS = 1.0\n",
         "REPORT_WAIT_SECONDS = 0.0\n",
         "../unit/forwarding/test_crash_ledger.py::test_refusal_waits_for_reports_of_other_nodes",
     ),
-    _one(
-        "limits of workers are not told to other nodes",
+    _single_edit(
+        "worker rate limits not reported to other nodes",
         FORWARDING,
         "peers/limit_reports.py",
         "self._socket.send_to(addresses, LIMITS, part)",
         "del part",
         "forwarding/test_worker_limits.py::test_limit_received_by_one_node_reaches_all_nodes",
     ),
-    _one(
-        "a grant is used that was not counted for its worker's limit",
+    _single_edit(
+        "uncharged grant used for a rate-limited worker",
         FORWARDING,
         "peers/dispatch_link.py",
         "if not reply.charged and self._limits.rate(reply.worker) is not None:",
         "if False:",
         "forwarding/test_worker_limits.py::test_uncharged_grant_is_released",
     ),
-    _one(
-        "a node without authority uses limited workers",
+    _single_edit(
+        "rate-limited workers used without authority",
         FORWARDING,
         "routing/worker_allowance.py",
         "if self._authority.share() <= 0.0:\n            return limited\n",
@@ -611,8 +615,8 @@
         "../unit/forwarding/test_worker_allowance.py"
         "::test_worker_rate_stays_within_bound_under_any_fault_history",
     ),
-    _one(
-        "an answer asked for before a limit was named ends it",
+    _single_edit(
+        "rate limit lifted by a response to an earlier request",
         FORWARDING,
         "routing/named_limits.py",
         "current.rate is None or sent_at <= current.observed_at",
@@ -620,8 +624,8 @@
         "../unit/forwarding/test_named_limits.py"
         "::test_response_to_request_sent_before_limit_does_not_lift_it",
     ),
-    _one(
-        "a node is not told of its own records",
+    _single_edit(
+        "local record writes not reported to the node",
         7,
         "peers/task.py",
         "self._apply_effects(membership.publish(message.key, message.value))",
@@ -632,35 +636,42 @@
 
 
 def run(mutation: Mutation, number: int) -> bool:
-    """Run one mutation; return whether its test failed as it must."""
-    copy = BUILD / f"{number:02}"
-    shutil.rmtree(copy, ignore_errors=True)
-    shutil.copytree(ROOT / "src", copy)
+    """Run the test of a mutation against a mutated copy of the source.
+
+    :param number: index of the mutation, used as the name of the copy's directory.
+    :return: whether the test failed, as required.
+    :raises SystemExit: if the text of an edit does not occur exactly once in its file.
+    """
+    source_copy = MUTANTS_DIRECTORY / f"{number:02}"
+    shutil.rmtree(source_copy, ignore_errors=True)
+    shutil.copytree(ROOT / "src", source_copy)
     for edit in mutation.edits:
-        path = copy / "wheelslip" / edit.file
+        path = source_copy / "wheelslip" / edit.file
         text = path.read_text()
         if text.count(edit.old) != 1:
-            raise SystemExit(f"{mutation.name}: {edit.file} holds {edit.old!r} not once")
+            raise SystemExit(
+                f"{mutation.name}: {edit.file} does not contain {edit.old!r} exactly once"
+            )
         path.write_text(text.replace(edit.old, edit.new))
     result = subprocess.run(
         [sys.executable, "-m", "pytest", "-o", "pythonpath=", "-x", mutation.test],
         cwd=ROOT,
-        env=os.environ | {"PYTHONPATH": f"{copy}{os.pathsep}{ROOT}"},
+        env=os.environ | {"PYTHONPATH": f"{source_copy}{os.pathsep}{ROOT}"},
         capture_output=True,
         text=True,
     )
     failed = result.returncode == 1
     reason = next((line for line in result.stdout.splitlines() if line.startswith("E  ")), "")
     verdict = "fails, as it must" if failed else f"DOES NOT FAIL ({result.returncode})"
-    print(f"promise {mutation.promise}: {mutation.name}: {verdict}: {reason[4:120].strip()}")
+    print(f"promise {mutation.guarantee}: {mutation.name}: {verdict}: {reason[4:120].strip()}")
     sys.stdout.flush()
     return failed
 
 
 def main() -> int:
-    """Run all mutations, or those whose number is given; returns the exit status."""
-    chosen = [int(argument) for argument in sys.argv[1:]] or range(len(MUTATIONS))
-    results = [run(MUTATIONS[number], number) for number in chosen]
+    """Run all mutations, or those at the indices given as arguments; return the exit status."""
+    selected = [int(argument) for argument in sys.argv[1:]] or range(len(MUTATIONS))
+    results = [run(MUTATIONS[number], number) for number in selected]
     print(f"{sum(results)} of {len(results)} mutations noticed")
     return 0 if all(results) else 1
 
