--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,4 +1,4 @@
-"""Microseconds a decision and bytes a known block, against blocks and engines."""
+"""Measure scheduler time per request, index memory per block and time per policy decision."""
 
 import itertools
 import random
@@ -16,14 +16,14 @@
 from wheelslip.routing.scheduler import Scheduler
 from wheelslip.tables import format_table
 
-BLOCKS = (1_000, 8_000, 63_000)
-ENGINES = (9, 25, 77)
+BLOCK_COUNTS = (1_000, 8_000, 63_000)
+ENGINE_COUNTS = (9, 25, 77)
 _PROMPT_BLOCKS = 250
-_DECISIONS = 300
-_POLICY_DECISIONS = 5_000
+_REQUEST_COUNT = 300
+_POLICY_DECISION_COUNT = 5_000
 
 
-def _request(number: int, keys: tuple[int, ...], now: float) -> RoutingRequest:
+def _routing_request(number: int, keys: tuple[int, ...], now: float) -> RoutingRequest:
     return RoutingRequest(
         f"r{number}",
         "t",
@@ -37,8 +37,11 @@
     )
 
 
-def decision_microseconds(blocks: int, engines: int) -> float:
-    """Return the mean time of one request's calls: submit, first token, end."""
+def microseconds_per_request(blocks: int, engines: int) -> float:
+    """Return the mean scheduler time per request: submission, first token and completion.
+
+    :param blocks: number of indexed prompt blocks.
+    """
     scheduler = Scheduler(SchedulerOptions(ask_home=False), random.Random(1))
     for number in range(engines):
         info = EngineInfo(f"e{number}", "", "z", "i", "m", "v1")
@@ -48,59 +51,59 @@
     ]
     for prompt, number in zip(prompts, itertools.cycle(range(engines)), strict=False):
         scheduler.record_stored(f"e{number}", "i", prompt, 0.0)
-    source = random.Random(2)
-    spent = 0.0
-    for number in range(_DECISIONS):
+    random_source = random.Random(2)
+    elapsed = 0.0
+    for number in range(_REQUEST_COUNT):
         now = 0.001 * number
-        request = _request(number, source.choice(prompts), now)
-        began = time.perf_counter()
+        request = _routing_request(number, random_source.choice(prompts), now)
+        started_at = time.perf_counter()
         decisions = scheduler.submit(request, now)
-        if any(isinstance(one, Dispatch) for one in decisions):
+        if any(isinstance(decision, Dispatch) for decision in decisions):
             scheduler.first_token(request.request_id, now + 0.0005)
             scheduler.finished(request.request_id, len(request.keys("v1")) * 64, now + 0.0009)
-        spent += time.perf_counter() - began
-    return spent / _DECISIONS * 1e6
+        elapsed += time.perf_counter() - started_at
+    return elapsed / _REQUEST_COUNT * 1e6
 
 
 def bytes_per_block(blocks: int) -> float:
-    """Return the memory of the prefix index for each known block."""
+    """Return the memory that the prefix index uses per indexed block."""
     tracemalloc.start()
     index = PrefixIndex()
     for engine in range(9):
         index.set_incarnation(f"e{engine}", "i")
-    source = random.Random(3)
-    before = tracemalloc.get_traced_memory()[0]
+    random_source = random.Random(3)
+    baseline = tracemalloc.get_traced_memory()[0]
     for number in range(blocks // 100):
-        keys = tuple(source.getrandbits(64) for _ in range(100))
+        keys = tuple(random_source.getrandbits(64) for _ in range(100))
         index.record_stored(f"e{number % 9}", "i", keys, float(number))
-    used = tracemalloc.get_traced_memory()[0] - before
+    used = tracemalloc.get_traced_memory()[0] - baseline
     tracemalloc.stop()
     return used / len(index)
 
 
-def policy_microseconds() -> float:
-    """Return the mean time of one policy decision, for the example's burst policy."""
+def microseconds_per_policy_decision() -> float:
+    """Return the mean time of one decision of the ``burst`` policy in ``examples/thibodeau``."""
     objects = read_declarations("examples/thibodeau")
     spec = check_spec(Kind.POLICY, objects["Policy/burst"])
     program = PolicyProgram("burst", spec.program)
     facts = PolicyFacts(**SAMPLE_FACTS)
-    began = time.perf_counter()
-    for _ in range(_POLICY_DECISIONS):
+    started_at = time.perf_counter()
+    for _ in range(_POLICY_DECISION_COUNT):
         program.decide(facts)
-    return (time.perf_counter() - began) / _POLICY_DECISIONS * 1e6
+    return (time.perf_counter() - started_at) / _POLICY_DECISION_COUNT * 1e6
 
 
 def main() -> None:
-    """Print all tables."""
+    """Run the measurements and print their results."""
     rows = [
-        (blocks, *[f"{decision_microseconds(blocks, engines):.0f}" for engines in ENGINES])
-        for blocks in BLOCKS
+        (blocks, *[f"{microseconds_per_request(blocks, engines):.0f}" for engines in ENGINE_COUNTS])
+        for blocks in BLOCK_COUNTS
     ]
     print(f"microseconds a request (prompt of {_PROMPT_BLOCKS} blocks), by engines")
-    print(format_table(("known blocks", *[str(engines) for engines in ENGINES]), rows))
-    rows = [(blocks, f"{bytes_per_block(blocks):.0f}") for blocks in BLOCKS]
+    print(format_table(("known blocks", *[str(engines) for engines in ENGINE_COUNTS]), rows))
+    rows = [(blocks, f"{bytes_per_block(blocks):.0f}") for blocks in BLOCK_COUNTS]
     print(format_table(("known blocks", "bytes a block"), rows))
-    print(f"microseconds a policy decision: {policy_microseconds():.0f}")
+    print(f"microseconds a policy decision: {microseconds_per_policy_decision():.0f}")
 
 
 if __name__ == "__main__":
--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -1,4 +1,4 @@
-"""Microseconds that a dispatcher spends on one request, against its service's workers."""
+"""Measure a dispatcher's time per request for services with different numbers of workers."""
 
 import itertools
 import random
@@ -27,22 +27,29 @@
 from wheelslip.tables import format_table
 from wheelslip.wire import decode_frame, encode_frame
 
-WORKERS = (5, 40, 59)
-REQUESTS = 2000
-RUNNING = 200
-"""Requests that run at one time."""
+WORKER_COUNTS = (5, 40, 59)
+REQUEST_COUNT = 2000
+MAX_RUNNING_REQUESTS = 200
+"""Maximum number of concurrently running requests."""
 
-PROMPTS = 400
+SESSION_COUNT = 400
 SERVICE = "s"
-_ENGINE = EngineProfile(16, 95_000, 160_000, 9e10)
+_ENGINE_PROFILE = EngineProfile(16, 95_000, 160_000, 9e10)
 
 
-class _View:
-    """A view of a deployment that does not change."""
+class _StaticView:
+    """Static view of a deployment with one service."""
 
     def __init__(self, workers: int):
         self.configuration = RoutingConfiguration(
-            1, {}, {SERVICE: Service(SERVICE, 1000, _ENGINE)}, (), {}, False, (), CallerLimits()
+            1,
+            {},
+            {SERVICE: Service(SERVICE, 1000, _ENGINE_PROFILE)},
+            (),
+            {},
+            False,
+            (),
+            CallerLimits(),
         )
         self.workers = {}
         for number in range(workers):
@@ -61,8 +68,8 @@
         return float("inf")
 
 
-def _query(number: int, source: random.Random) -> PlacementQuery:
-    session = source.randrange(PROMPTS)
+def _placement_query(number: int, random_source: random.Random) -> PlacementQuery:
+    session = random_source.randrange(SESSION_COUNT)
     parts = (
         PromptPart(f"{session % 4:08x}", 2500),
         PromptPart(f"{session:08x}", 3800),
@@ -71,33 +78,35 @@
     return PlacementQuery(SERVICE, SERVICE, "m", 9200, 50, parts, target_seconds=60.0, zone="z")
 
 
-def question_microseconds(workers: int) -> float:
-    """Return the mean time of a request's messages: question, grant, first token, end."""
+def microseconds_per_request(workers: int) -> float:
+    """Return the mean time per request: query, grant, first token and completion."""
     ticks = itertools.count()
     clock = lambda: next(ticks) * 1e-5  # noqa: E731
-    placement = FleetPlacement(_View(workers), clock, random.Random(1))
+    placement = FleetPlacement(_StaticView(workers), clock, random.Random(1))
     limits = TenantLimits(dict, SingleNodeAuthority(clock), clock)
     allowance = WorkerAllowance(WorkerRateLimits(clock), SingleNodeAuthority(clock))
     dispatcher = Dispatcher(placement, limits, allowance, clock)
-    source, running, spent = random.Random(2), [], 0.0
-    for number in range(REQUESTS):
+    random_source, running, elapsed = random.Random(2), [], 0.0
+    for number in range(REQUEST_COUNT):
         query_id = QueryId("0123456789ab", number)
-        frame = encode_frame(("ask", WorkerQuery.of(query_id, _query(number, source))))
-        began = time.perf_counter()
-        _, ask = decode_frame(frame, tuple[str, WorkerQuery])
-        placement = dispatcher.grant(ask.query_id(), ask.placement_query())
+        frame = encode_frame(
+            ("ask", WorkerQuery.of(query_id, _placement_query(number, random_source)))
+        )
+        started_at = time.perf_counter()
+        _, query = decode_frame(frame, tuple[str, WorkerQuery])
+        placement = dispatcher.grant(query.query_id(), query.placement_query())
         encode_frame(("grant", WorkerGrant(number, "0123456789ab", placement.worker.info.id)))
         dispatcher.record_progress(query_id, Progress.FIRST_TOKEN)
-        if len(running) == RUNNING:
+        if len(running) == MAX_RUNNING_REQUESTS:
             dispatcher.record_progress(running.pop(0), Progress.ENDED)
-        spent += time.perf_counter() - began
+        elapsed += time.perf_counter() - started_at
         running.append(query_id)
-    return spent / REQUESTS * 1e6
+    return elapsed / REQUEST_COUNT * 1e6
 
 
 def main() -> None:
-    """Print the table."""
-    rows = [(workers, f"{question_microseconds(workers):.0f}") for workers in WORKERS]
+    """Print the mean time per request for each number of workers."""
+    rows = [(workers, f"{microseconds_per_request(workers):.0f}") for workers in WORKER_COUNTS]
     print(format_table(("workers", "microseconds a request"), rows))
 
 
--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -1,7 +1,7 @@
-"""Several nodes and engines in virtual time: every decision by the same pure code.
+"""Emulation of several nodes and engines in virtual time.
 
-Engines are :class:`standins.engine_model.EngineModel`, the class that also serves in the
-stand-in process. A run gives the same figures every time.
+Engines are modelled by :class:`standins.engine_model.EngineModel`, which the stand-in process
+uses too. Runs are deterministic for a given seed.
 """
 
 import random
@@ -27,21 +27,24 @@
 
 _ZONES = ("zone-a", "zone-b", "zone-c")
 _HOP_SECONDS = 0.001
-"""Client to node, and node to engine, one way: "about a millisecond away"."""
+"""One-way latency between client and node, node and engine, and two nodes."""
 
-_CRASH_NOTICE_SECONDS = 0.5
+_CRASH_DETECTION_SECONDS = 0.5
 _RESTART_SECONDS = 3.0
 _KEYS_PER_ID = TRACE_BLOCK_TOKENS // BLOCK_TOKENS
-GIVEN_UP_SECONDS = 300.0
-"""First-token time booked for a request that was refused or lost."""
+UNANSWERED_SECONDS = 300.0
+"""First-token time of unanswered requests; a run ends this long after its last arrival."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """What a run is made of besides its trace.
+    """Conditions of a run.
 
-    :param report_seconds: interval and age of engines' load reports.
-    :param crash_times: when an engine crashes, coming back empty.
+    :ivar engines: number of engines.
+    :ivar nodes: number of nodes.
+    :ivar report_seconds: interval between load reports, and their age on delivery.
+    :ivar crash_times: times in seconds at which a random engine crashes and restarts empty.
+    :ivar class_priority: whether engines order requests by service class.
     """
 
     engines: int
@@ -53,8 +56,14 @@
 
 
 @dataclass
-class RunFigures:
-    """Raw outcome of one run."""
+class RunMetrics:
+    """Measurements of one run.
+
+    :ivar first_token: seconds from arrival to first token of each request.
+    :ivar wasted_tokens: prompt tokens cached by another live engine but not by the chosen one.
+    :ivar evicted_tokens: prompt tokens seen before but cached by no live engine.
+    :ivar started: number of submissions to engines by request id.
+    """
 
     first_token: list[float] = field(default_factory=list)
     interactive_first_token: list[float] = field(default_factory=list)
@@ -71,7 +80,9 @@
 
 
 @dataclass
-class _Work:
+class _RequestState:
+    """Progress of a request through the run."""
+
     request: TraceRequest
     routing: RoutingRequest
     node: int
@@ -83,7 +94,7 @@
 
 
 class _Engine:
-    """One engine process in virtual time."""
+    """Engine process in virtual time."""
 
     def __init__(self, run: "EmulatedRun", number: int):
         self.run = run
@@ -98,8 +109,8 @@
     def info(self) -> EngineInfo:
         return EngineInfo(self.name, "", self.zone, str(self.incarnation), "model", "v1")
 
-    def submit(self, work: _Work) -> None:
-        routing = work.routing
+    def submit(self, state: _RequestState) -> None:
+        routing = state.routing
         priority = 0
         if self.run.scenario.class_priority:
             priority = ENGINE_PRIORITY[routing.service_class]
@@ -111,8 +122,8 @@
             BlockOrigin(routing.tenant, "v1"),
             priority,
         )
-        self.run.figures.started[routing.request_id] = (
-            self.run.figures.started.get(routing.request_id, 0) + 1
+        self.run.metrics.started[routing.request_id] = (
+            self.run.metrics.started.get(routing.request_id, 0) + 1
         )
         self.model.submit(sequence, self.run.environment.now)
         self.run.sequences[routing.request_id] = sequence
@@ -138,64 +149,66 @@
 
 
 class EmulatedRun:
-    """One trace through one variant."""
+    """Replay of a trace with one variant."""
 
     def __init__(self, trace: list[TraceRequest], variant: Variant, scenario: Scenario, seed: int):
         self.environment = simpy.Environment()
         self.scenario = scenario
-        self.figures = RunFigures()
+        self.metrics = RunMetrics()
         self.sequences: dict[str, Sequence] = {}
         self._trace = trace
         self._random = random.Random(seed)
-        self._engines = {one.name: one for one in self._make_engines()}
+        self._engines = {engine.name: engine for engine in self._make_engines()}
         self._nodes = [
             variant.make(_ZONES[n % len(_ZONES)], random.Random(seed + n))
             for n in range(scenario.nodes)
         ]
-        self._works: dict[str, _Work] = {}
-        self._seen: set[int] = set()
+        self._unfinished: dict[str, _RequestState] = {}
+        self._seen_keys: set[int] = set()
 
-    def run(self) -> RunFigures:
-        """Run to the end of all requests."""
+    def run(self) -> RunMetrics:
+        """Run until ``UNANSWERED_SECONDS`` after the last arrival and return the measurements."""
         for node in self._nodes:
             for engine in self._engines.values():
-                self._carry_out(node.update_engine(engine.info(), 0.0), node)
-        self.environment.process(self._arrive())
+                self._apply_outputs(node.update_engine(engine.info(), 0.0), node)
+        self.environment.process(self._submit_arrivals())
         self.environment.process(self._report_load())
         self.environment.process(self._tick())
-        for at in self.scenario.crash_times:
-            self.environment.process(self._crash(at))
-        last = self._trace[-1].timestamp / 1000
-        self.environment.run(until=last + GIVEN_UP_SECONDS)
-        for work in self._works.values():
-            self._book_given_up(work)
-        return self.figures
+        for crash_time in self.scenario.crash_times:
+            self.environment.process(self._crash(crash_time))
+        last_arrival = self._trace[-1].timestamp / 1000
+        self.environment.run(until=last_arrival + UNANSWERED_SECONDS)
+        for state in self._unfinished.values():
+            self._record_unanswered(state)
+        return self.metrics
 
     def _make_engines(self) -> list[_Engine]:
         return [_Engine(self, number) for number in range(self.scenario.engines)]
 
-    def _arrive(self) -> Iterator[simpy.Event]:
+    def _submit_arrivals(self) -> Iterator[simpy.Event]:
         for number, request in enumerate(self._trace):
-            at = request.timestamp / 1000
-            yield self.environment.timeout(max(0.0, at - self.environment.now))
+            arrived = request.timestamp / 1000
+            yield self.environment.timeout(max(0.0, arrived - self.environment.now))
             node = self._random.randrange(self.scenario.nodes)
-            work = _Work(request, _routing_request(request, number, at), node, at)
-            self._works[work.routing.request_id] = work
-            self._submit(work)
+            state = _RequestState(
+                request, _routing_request(request, number, arrived), node, arrived
+            )
+            self._unfinished[state.routing.request_id] = state
+            self._submit(state)
 
-    def _submit(self, work: _Work) -> None:
+    def _submit(self, state: _RequestState) -> None:
         now = self.environment.now
-        node = self._nodes[work.node]
-        self._carry_out(node.submit(work.routing, now), node)
+        node = self._nodes[state.node]
+        self._apply_outputs(node.submit(state.routing, now), node)
 
     def _tick(self) -> Iterator[simpy.Event]:
         while True:
             yield self.environment.timeout(0.05)
             for node in self._nodes:
-                self._carry_out(node.tick(self.environment.now), node)
+                self._apply_outputs(node.tick(self.environment.now), node)
 
     def _report_load(self) -> Iterator[simpy.Event]:
-        """Deliver load reports that are as old as the interval between them."""
+        """Deliver load reports to the nodes with a delay of one report interval."""
         while True:
             loads = {
                 engine.name: (engine.model.running_count, engine.model.waiting_count)
@@ -206,146 +219,157 @@
                 for name, (running, waiting) in loads.items():
                     node.observe_load(name, running, waiting, self.environment.now)
 
-    def _crash(self, at: float) -> Iterator[simpy.Event]:
-        yield self.environment.timeout(at)
-        engine = self._random.choice(sorted(self._engines.values(), key=lambda one: one.name))
-        before = engine.incarnation
+    def _crash(self, crash_time: float) -> Iterator[simpy.Event]:
+        yield self.environment.timeout(crash_time)
+        engine = self._random.choice(
+            sorted(self._engines.values(), key=lambda candidate: candidate.name)
+        )
+        crashed_incarnation = engine.incarnation
         engine.crash()
         lost = [
-            work
-            for work in self._works.values()
-            if work.engine is engine and work.incarnation == before
+            state
+            for state in self._unfinished.values()
+            if state.engine is engine and state.incarnation == crashed_incarnation
         ]
-        yield self.environment.timeout(_CRASH_NOTICE_SECONDS)
+        yield self.environment.timeout(_CRASH_DETECTION_SECONDS)
         for node in self._nodes:
             node.remove_engine(engine.name)
-        for work in lost:
-            self._lose(work)
+        for state in lost:
+            self._handle_lost(state)
         yield self.environment.timeout(_RESTART_SECONDS)
         engine.alive = True
         for node in self._nodes:
-            self._carry_out(node.update_engine(engine.info(), self.environment.now), node)
-
-    def _lose(self, work: _Work) -> None:
-        request_id = work.routing.request_id
-        node = self._nodes[work.node]
-        self._carry_out(node.failed(request_id, self.environment.now), node)
-        work.engine = None
-        if not work.request.repeatable:
-            self.figures.lost += 1
-            del self._works[request_id]
-            self._book_first_token(work, GIVEN_UP_SECONDS)
+            self._apply_outputs(node.update_engine(engine.info(), self.environment.now), node)
+
+    def _handle_lost(self, state: _RequestState) -> None:
+        request_id = state.routing.request_id
+        node = self._nodes[state.node]
+        self._apply_outputs(node.failed(request_id, self.environment.now), node)
+        state.engine = None
+        if not state.request.repeatable:
+            self.metrics.lost += 1
+            del self._unfinished[request_id]
+            self._record_first_token(state, UNANSWERED_SECONDS)
             return
-        self.figures.retried += 1
-        self._submit(work)
+        self.metrics.retried += 1
+        self._submit(state)
 
-    def _carry_out(self, placements: list[NodeOutput], node: WheelslipNode | BaselineNode) -> None:
-        for placement in placements:
-            if isinstance(placement, HomeLookup | HomeUpdate):
-                self.environment.process(self._talk_to_home(placement, node))
+    def _apply_outputs(self, outputs: list[NodeOutput], node: WheelslipNode | BaselineNode) -> None:
+        for output in outputs:
+            if isinstance(output, HomeLookup | HomeUpdate):
+                self.environment.process(self._deliver_to_home(output, node))
                 continue
-            work = self._works[placement.request_id]
-            if placement.engine is None:
-                self.figures.refused += 1
-                self.environment.process(self._come_back(work, placement.retry_after_seconds))
+            state = self._unfinished[output.request_id]
+            if output.engine is None:
+                self.metrics.refused += 1
+                self.environment.process(self._resubmit_later(state, output.retry_after_seconds))
                 continue
-            self.environment.process(self._send(work, self._engines[placement.engine]))
+            self.environment.process(self._send(state, self._engines[output.engine]))
 
-    def _talk_to_home(
-        self, message: HomeLookup | HomeUpdate, asker: WheelslipNode
+    def _deliver_to_home(
+        self, message: HomeLookup | HomeUpdate, sender: WheelslipNode
     ) -> Iterator[simpy.Event]:
-        """Carry a message to a prefix's home node, and its answer back."""
+        """Deliver a message to a prefix's home node, and its reply to the sender."""
         names = [str(number) for number in range(self.scenario.nodes)]
         home = self._nodes[int(rendezvous.owner(str(message.head), names))]
         yield self.environment.timeout(_HOP_SECONDS)
-        self.figures.home_messages += 1
+        self.metrics.home_messages += 1
         if isinstance(message, HomeUpdate):
             home.registry.record(message.head, message.plan, self.environment.now)
             return
         hints = home.registry.lookup(message.head, message.plan, self.environment.now)
         yield self.environment.timeout(_HOP_SECONDS)
         now = self.environment.now
-        self._carry_out(asker.handle_home_reply(message.head, hints, now), asker)
+        self._apply_outputs(sender.handle_home_reply(message.head, hints, now), sender)
 
-    def _come_back(self, work: _Work, seconds: float) -> Iterator[simpy.Event]:
-        """Repeat a refused request when its caller was told to; lateness counts from its start."""
+    def _resubmit_later(self, state: _RequestState, seconds: float) -> Iterator[simpy.Event]:
+        """Resubmit a rejected request after its retry delay, with a renewed deadline.
+
+        Its first-token time is still measured from its arrival.
+        """
         yield self.environment.timeout(seconds)
-        work.routing.deadline = self.environment.now + work.request.deadline_seconds
-        work.node = self._random.randrange(self.scenario.nodes)
-        self._submit(work)
+        state.routing.deadline = self.environment.now + state.request.deadline_seconds
+        state.node = self._random.randrange(self.scenario.nodes)
+        self._submit(state)
 
-    def _send(self, work: _Work, engine: _Engine) -> Iterator[simpy.Event]:
-        work.engine, work.incarnation = engine, engine.incarnation
+    def _send(self, state: _RequestState, engine: _Engine) -> Iterator[simpy.Event]:
+        state.engine, state.incarnation = engine, engine.incarnation
         yield self.environment.timeout(_HOP_SECONDS)
-        if not engine.alive or engine.incarnation != work.incarnation:
-            if work.engine is engine and work.routing.request_id in self._works:
-                yield self.environment.timeout(_CRASH_NOTICE_SECONDS)
-                work.routing.excluded.discard(engine.name)
-                if work.engine is engine:
-                    self._refused_by_dead(work)
+        if not engine.alive or engine.incarnation != state.incarnation:
+            if state.engine is engine and state.routing.request_id in self._unfinished:
+                yield self.environment.timeout(_CRASH_DETECTION_SECONDS)
+                state.routing.excluded.discard(engine.name)
+                if state.engine is engine:
+                    self._resubmit_unstarted(state)
             return
-        self._book_prompt(work, engine)
+        self._record_prompt(state, engine)
         now = self.environment.now
         waiting = engine.model.waiting_count
         running = engine.model.running_count
-        self._nodes[work.node].observe_load(engine.name, running, waiting, now)
-        engine.submit(work)
-
-    def _refused_by_dead(self, work: _Work) -> None:
-        """Nothing ran: even what may not be repeated is placed anew."""
-        node = self._nodes[work.node]
-        work.engine = None
-        self._carry_out(node.failed(work.routing.request_id, self.environment.now), node)
-        self._submit(work)
-
-    def _book_prompt(self, work: _Work, engine: _Engine) -> None:
-        """Book hit, waste and eviction by what live engines hold as the request arrives."""
-        keys = work.routing.keys("v1")
-        here = _held(engine.model.cache, keys)
-        best = max(_held(one.model.cache, keys) for one in self._engines.values() if one.alive)
-        seen = next((n for n, key in enumerate(keys) if key not in self._seen), len(keys))
-        self._seen.update(keys)
-        figures = self.figures
-        figures.prompt_tokens += work.routing.prompt_tokens
-        figures.wasted_tokens += max(0, best - here) * BLOCK_TOKENS
-        figures.evicted_tokens += max(0, seen - best) * BLOCK_TOKENS
+        self._nodes[state.node].observe_load(engine.name, running, waiting, now)
+        engine.submit(state)
+
+    def _resubmit_unstarted(self, state: _RequestState) -> None:
+        """Resubmit a request that never reached its engine, even if it is not repeatable."""
+        node = self._nodes[state.node]
+        state.engine = None
+        self._apply_outputs(node.failed(state.routing.request_id, self.environment.now), node)
+        self._submit(state)
+
+    def _record_prompt(self, state: _RequestState, engine: _Engine) -> None:
+        """Record wasted and evicted prompt tokens by the engines' caches on a request's arrival."""
+        keys = state.routing.keys("v1")
+        local_blocks = _cached_blocks(engine.model.cache, keys)
+        best_blocks = max(
+            _cached_blocks(candidate.model.cache, keys)
+            for candidate in self._engines.values()
+            if candidate.alive
+        )
+        seen_blocks = next(
+            (n for n, key in enumerate(keys) if key not in self._seen_keys), len(keys)
+        )
+        self._seen_keys.update(keys)
+        metrics = self.metrics
+        metrics.prompt_tokens += state.routing.prompt_tokens
+        metrics.wasted_tokens += max(0, best_blocks - local_blocks) * BLOCK_TOKENS
+        metrics.evicted_tokens += max(0, seen_blocks - best_blocks) * BLOCK_TOKENS
 
     def on_token(self, request_id: str, index: int, finished: bool) -> None:
-        """Take one token of an engine."""
-        work = self._works.get(request_id)
-        if work is None:
+        """Process an output token of an engine."""
+        state = self._unfinished.get(request_id)
+        if state is None:
             return
         now = self.environment.now
-        node = self._nodes[work.node]
-        if work.first_token_at is None:
-            work.first_token_at = now
-            self._book_first_token(work, now + 2 * _HOP_SECONDS - work.arrived)
+        node = self._nodes[state.node]
+        if state.first_token_at is None:
+            state.first_token_at = now
+            self._record_first_token(state, now + 2 * _HOP_SECONDS - state.arrived)
         if index == 0:
             sequence = self.sequences[request_id]
-            work.cached_tokens = sequence.cached_tokens
-            self.figures.cached_tokens += sequence.cached_tokens
-            self._carry_out(node.first_token(request_id, now), node)
+            state.cached_tokens = sequence.cached_tokens
+            self.metrics.cached_tokens += sequence.cached_tokens
+            self._apply_outputs(node.first_token(request_id, now), node)
         if finished:
-            del self._works[request_id]
-            self._carry_out(node.finished(request_id, work.cached_tokens, now), node)
+            del self._unfinished[request_id]
+            self._apply_outputs(node.finished(request_id, state.cached_tokens, now), node)
 
-    def _book_first_token(self, work: _Work, seconds: float) -> None:
-        self.figures.first_token.append(seconds)
-        if work.routing.service_class is ServiceClass.INTERACTIVE:
-            self.figures.interactive_first_token.append(seconds)
-        if seconds > work.request.deadline_seconds:
-            self.figures.late += 1
+    def _record_first_token(self, state: _RequestState, seconds: float) -> None:
+        self.metrics.first_token.append(seconds)
+        if state.routing.service_class is ServiceClass.INTERACTIVE:
+            self.metrics.interactive_first_token.append(seconds)
+        if seconds > state.request.deadline_seconds:
+            self.metrics.late += 1
 
-    def _book_given_up(self, work: _Work) -> None:
-        if work.first_token_at is None:
-            self._book_first_token(work, GIVEN_UP_SECONDS)
+    def _record_unanswered(self, state: _RequestState) -> None:
+        if state.first_token_at is None:
+            self._record_first_token(state, UNANSWERED_SECONDS)
 
 
-def _held(cache: PrefixCache, keys: tuple[int, ...]) -> int:
+def _cached_blocks(cache: PrefixCache, keys: tuple[int, ...]) -> int:
     return next((n for n, key in enumerate(keys) if key not in cache), len(keys))
 
 
-def _routing_request(request: TraceRequest, number: int, at: float) -> RoutingRequest:
+def _routing_request(request: TraceRequest, number: int, arrived: float) -> RoutingRequest:
     keys = tuple(
         hash_id * _KEYS_PER_ID + part
         for hash_id in request.hash_ids
@@ -360,26 +384,26 @@
         keys_for=lambda version: keys,
         prompt_tokens=request.input_length,
         output_tokens=request.output_length,
-        arrived=at,
-        deadline=at + request.deadline_seconds,
+        arrived=arrived,
+        deadline=arrived + request.deadline_seconds,
         recompute_weight=RECOMPUTE_WEIGHT[service_class],
     )
 
 
-def ceilings(trace: list[TraceRequest], scenario: Scenario) -> tuple[float, float]:
-    """Return the hit rates of one infinite cache, and of one cache of all engines' memory."""
+def hit_rate_ceilings(trace: list[TraceRequest], scenario: Scenario) -> tuple[float, float]:
+    """Return the hit rates of an infinite cache and of one cache with the memory of all engines."""
     profile = scenario.profile
     pooled = PrefixCache(profile.cache_blocks * scenario.engines, profile.idle_eviction_seconds)
-    seen: set[int] = set()
+    seen_keys: set[int] = set()
     origin = BlockOrigin("", "v1")
-    total = infinite = bounded = 0
+    total_tokens = infinite_hits = bounded_hits = 0
     for number, request in enumerate(trace):
-        at = request.timestamp / 1000
-        keys = _routing_request(request, number, at).keys("v1")
-        known = next((n for n, key in enumerate(keys) if key not in seen), len(keys))
-        infinite += known * BLOCK_TOKENS
-        bounded += len(pooled.match(keys, at)) * BLOCK_TOKENS
-        total += request.input_length
-        seen.update(keys)
-        pooled.store(keys, origin, at)
-    return infinite / total, bounded / total
+        arrived = request.timestamp / 1000
+        keys = _routing_request(request, number, arrived).keys("v1")
+        seen_blocks = next((n for n, key in enumerate(keys) if key not in seen_keys), len(keys))
+        infinite_hits += seen_blocks * BLOCK_TOKENS
+        bounded_hits += len(pooled.match(keys, arrived)) * BLOCK_TOKENS
+        total_tokens += request.input_length
+        seen_keys.update(keys)
+        pooled.store(keys, origin, arrived)
+    return infinite_hits / total_tokens, bounded_hits / total_tokens
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,8 +1,8 @@
-"""Seeded traces of both desks, in the published Mooncake format with fields beside it.
+"""Generate, read and write request traces in the Mooncake format with additional fields.
 
-One JSON object a line: ``timestamp`` (ms), ``input_length`` and ``output_length`` (tokens)
-and ``hash_ids`` (one for each 512 prompt tokens, equal ids for equal prefixes), and beside
-them ``tenant``, ``workload``, ``class``, ``deadline_seconds`` and ``repeatable``.
+A trace has one JSON object per line: ``timestamp`` (ms), ``input_length`` and ``output_length``
+(tokens) and ``hash_ids`` (one per 512 prompt tokens; equal ids mean equal prefixes). The
+additional fields are ``tenant``, ``workload``, ``class``, ``deadline_seconds`` and ``repeatable``.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 class TraceRequest(msgspec.Struct, frozen=True):
-    """One line of a trace."""
+    """Request of a trace, encoded as one line."""
 
     timestamp: int
     input_length: int
@@ -33,14 +33,17 @@
     repeatable: bool
 
 
-class _Prefixes:
-    """Hands out hash ids: the same path of names gives the same ids."""
+class _HashIdAllocator:
+    """Allocator of hash ids: prompts that begin with the same named parts share ids."""
 
     def __init__(self):
         self._ids: dict[tuple, int] = {}
 
     def ids(self, *parts: tuple[str, int]) -> tuple[list[int], int]:
-        """Return ids and tokens of a prompt made of named parts with their tokens."""
+        """Return the hash ids and the token count of a prompt.
+
+        :param parts: name and token count of each consecutive part of the prompt.
+        """
         ids, path, tokens = [], (), 0
         for name, part_tokens in parts:
             path = (*path, name)
@@ -51,73 +54,109 @@
 
 
 def thibodeau_burst(seed: int, seconds: float = 60.0, scale: float = 1.0) -> list[TraceRequest]:
-    """Item logs asked about by clerks, a burst on one hot log that shifts to another.
+    """Generate short questions about long item logs, with a burst that concentrates on one log.
+
+    The burst moves to a second log while it lasts.
 
-    Sizes are the brief's: eight tenants, a few of them large, logs far longer than the
-    questions; the burst is thousands of lookups a minute on the same log.
+    :param seconds: duration of the trace.
+    :param scale: factor applied to the arrival rate.
     """
-    source = random.Random(seed)
-    prefixes = _Prefixes()
-    logs = [(f"log-{n}", source.randrange(8_000, 26_000)) for n in range(14)]
+    random_source = random.Random(seed)
+    allocator = _HashIdAllocator()
+    logs = [(f"log-{n}", random_source.randrange(8_000, 26_000)) for n in range(14)]
     tenants = [f"tenant-{n}" for n in range(8)]
     requests = []
-    for at in _arrivals(source, seconds, lambda t: scale * _burst_rate(t, seconds)):
-        hot = 0 if at < seconds * 0.6 else 1
-        in_burst = seconds * 0.3 < at < seconds * 0.85
-        log = logs[hot] if in_burst and source.random() < 0.85 else _zipf(source, logs)
-        # A log belongs to one tenant; large tenants have most of them.
+    for arrival in _arrivals(
+        random_source, seconds, lambda time: scale * _burst_rate(time, seconds)
+    ):
+        hot_index = 0 if arrival < seconds * 0.6 else 1
+        in_burst = seconds * 0.3 < arrival < seconds * 0.85
+        log = (
+            logs[hot_index]
+            if in_burst and random_source.random() < 0.85
+            else _zipf(random_source, logs)
+        )
+        # Each log belongs to one tenant.
         tenant = tenants[min(7, int(log[0].split("-")[1]) // 2)]
-        kind = source.random()
-        question = (f"question-{len(requests)}", source.randrange(40, 200))
-        if kind < 0.03:
-            fields = ("notice", ServiceClass.INTERACTIVE, 10.0, False, source.randrange(20, 60))
-        elif kind < 0.08:
-            fields = ("log-review", ServiceClass.PATIENT, 120.0, True, source.randrange(100, 200))
+        workload_draw = random_source.random()
+        question = (f"question-{len(requests)}", random_source.randrange(40, 200))
+        if workload_draw < 0.03:
+            fields = (
+                "notice",
+                ServiceClass.INTERACTIVE,
+                10.0,
+                False,
+                random_source.randrange(20, 60),
+            )
+        elif workload_draw < 0.08:
+            fields = (
+                "log-review",
+                ServiceClass.PATIENT,
+                120.0,
+                True,
+                random_source.randrange(100, 200),
+            )
         else:
-            fields = ("lookup", ServiceClass.INTERACTIVE, 5.0, True, source.randrange(20, 60))
-        requests.append(_request(prefixes, at, tenant, [log, question], fields))
+            fields = (
+                "lookup",
+                ServiceClass.INTERACTIVE,
+                5.0,
+                True,
+                random_source.randrange(20, 60),
+            )
+        requests.append(_trace_request(allocator, arrival, tenant, [log, question], fields))
     return requests
 
 
 def tbilisi_audit(seed: int, seconds: float = 90.0, scale: float = 1.0) -> list[TraceRequest]:
-    """Datasheet bundles nested under shared spec prefixes, and short questions beside."""
-    source = random.Random(seed)
-    prefixes = _Prefixes()
+    """Generate datasheet bundles with nested shared prefixes, and questions that share them.
+
+    :param seconds: duration of the trace.
+    :param scale: factor applied to the arrival rate.
+    """
+    random_source = random.Random(seed)
+    allocator = _HashIdAllocator()
     families = [f"family-{n}" for n in range(5)]
     requests = []
-    for at in _arrivals(source, seconds, lambda t: scale * 7.0):
-        family = _zipf(source, families)
-        spec = f"{family}-spec-{_zipf(source, list(range(4)))}"
-        alloy = f"{spec}-alloy-{source.randrange(6)}"
+    for arrival in _arrivals(random_source, seconds, lambda time: scale * 7.0):
+        family = _zipf(random_source, families)
+        spec = f"{family}-spec-{_zipf(random_source, list(range(4)))}"
+        alloy = f"{spec}-alloy-{random_source.randrange(6)}"
         tenant = f"tenant-{families.index(family)}"
-        base = [(family, 4_096), (spec, 6_144)]
-        tail = (f"tail-{len(requests)}", source.randrange(300, 1500))
-        kind = source.random()
-        if kind < 0.5:
-            parts = [*base, (alloy, 8_192), tail]
-            fields = ("bundle", ServiceClass.PATIENT, 300.0, True, source.randrange(4, 20))
-        elif kind < 0.8:
-            parts = [*base, tail]
+        shared_parts = [(family, 4_096), (spec, 6_144)]
+        tail = (f"tail-{len(requests)}", random_source.randrange(300, 1500))
+        workload_draw = random_source.random()
+        if workload_draw < 0.5:
+            parts = [*shared_parts, (alloy, 8_192), tail]
+            fields = ("bundle", ServiceClass.PATIENT, 300.0, True, random_source.randrange(4, 20))
+        elif workload_draw < 0.8:
+            parts = [*shared_parts, tail]
             fields = (
                 "method-question",
                 ServiceClass.INTERACTIVE,
                 10.0,
                 True,
-                source.randrange(40, 120),
+                random_source.randrange(40, 120),
             )
-        elif kind < 0.93:
-            parts = [*base, (alloy, 8_192), tail]
+        elif workload_draw < 0.93:
+            parts = [*shared_parts, (alloy, 8_192), tail]
             fields = (
                 "property-sheet",
                 ServiceClass.INTERACTIVE,
                 30.0,
                 True,
-                source.randrange(60, 150),
+                random_source.randrange(60, 150),
             )
         else:
-            parts = [*base, (alloy, 8_192), tail]
-            fields = ("certificate", ServiceClass.PATIENT, 120.0, False, source.randrange(60, 120))
-        requests.append(_request(prefixes, at, tenant, parts, fields))
+            parts = [*shared_parts, (alloy, 8_192), tail]
+            fields = (
+                "certificate",
+                ServiceClass.PATIENT,
+                120.0,
+                False,
+                random_source.randrange(60, 120),
+            )
+        requests.append(_trace_request(allocator, arrival, tenant, parts, fields))
     return requests
 
 
@@ -127,7 +166,7 @@
 def read_trace(path: pathlib.Path) -> list[TraceRequest]:
     """Read a trace file.
 
-    :raises msgspec.ValidationError: naming the field that is wrong.
+    :raises msgspec.ValidationError: if a line has a missing or invalid field.
     """
     decoder = msgspec.json.Decoder(TraceRequest)
     return [decoder.decode(line) for line in path.read_bytes().splitlines()]
@@ -135,42 +174,57 @@
 
 def write_trace(path: pathlib.Path, requests: list[TraceRequest]) -> None:
     """Write a trace file."""
-    path.write_bytes(b"\n".join(msgspec.json.encode(one) for one in requests) + b"\n")
+    path.write_bytes(b"\n".join(msgspec.json.encode(request) for request in requests) + b"\n")
 
 
-def _request(
-    prefixes: _Prefixes, at: float, tenant: str, parts: list[tuple[str, int]], fields: tuple
+def _trace_request(
+    allocator: _HashIdAllocator,
+    arrival: float,
+    tenant: str,
+    parts: list[tuple[str, int]],
+    fields: tuple,
 ) -> TraceRequest:
     workload, service_class, deadline, repeatable, output = fields
-    ids, tokens = prefixes.ids(*parts)
+    ids, tokens = allocator.ids(*parts)
     return TraceRequest(
-        int(at * 1000), tokens, output, ids, tenant, workload, service_class, deadline, repeatable
+        int(arrival * 1000),
+        tokens,
+        output,
+        ids,
+        tenant,
+        workload,
+        service_class,
+        deadline,
+        repeatable,
     )
 
 
-def _arrivals(source: random.Random, seconds: float, rate) -> Iterator[float]:
-    """Yield Poisson arrival times under a rate that changes over time, by thinning."""
-    highest = max(rate(seconds * n / 200) for n in range(200))
-    at = 0.0
+def _arrivals(random_source: random.Random, seconds: float, rate) -> Iterator[float]:
+    """Yield arrival times of a Poisson process with a time-dependent rate, by thinning.
+
+    :param rate: function from the time in seconds to arrivals per second.
+    """
+    max_rate = max(rate(seconds * n / 200) for n in range(200))
+    arrival = 0.0
     while True:
-        at += source.expovariate(highest)
-        if at >= seconds:
+        arrival += random_source.expovariate(max_rate)
+        if arrival >= seconds:
             return
-        if source.random() * highest < rate(at):
-            yield at
+        if random_source.random() * max_rate < rate(arrival):
+            yield arrival
 
 
-def _burst_rate(at: float, seconds: float) -> float:
-    return 45.0 if seconds * 0.3 < at < seconds * 0.85 else 4.0
+def _burst_rate(arrival: float, seconds: float) -> float:
+    return 45.0 if seconds * 0.3 < arrival < seconds * 0.85 else 4.0
 
 
-def _zipf(source: random.Random, choices: list):
+def _zipf(random_source: random.Random, choices: list):
     weights = [1 / (rank + 1) for rank in range(len(choices))]
-    return source.choices(choices, weights)[0]
+    return random_source.choices(choices, weights)[0]
 
 
 def main(seed: int = 1) -> None:
-    """Write the small traces that are committed."""
+    """Write the small traces kept in ``traces/`` and print their request counts."""
     TRACES.mkdir(exist_ok=True)
     write_trace(TRACES / "thibodeau-burst.jsonl", thibodeau_burst(seed, 30.0))
     write_trace(TRACES / "tbilisi-audit.jsonl", tbilisi_audit(seed, 45.0))
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -1,4 +1,4 @@
-"""The variants of a replay: three baselines and wheelslip's scheduler, behind one interface."""
+"""Routing variants for replays: three baselines and the wheelslip scheduler."""
 
 import random
 from collections.abc import Callable
@@ -20,7 +20,11 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """Where a request goes; no engine means that it is refused."""
+    """Outcome of the placement of a request.
+
+    :ivar engine: name of the chosen engine; None if the request is rejected.
+    :ivar retry_after_seconds: delay before a rejected request may be retried.
+    """
 
     request_id: str
     engine: str | None
@@ -31,32 +35,35 @@
 
 
 class BaselineNode:
-    """A node that sends every request at once to the engine its rule names."""
+    """Base class of nodes that place each request immediately, by the rule in :meth:`choose`.
+
+    Requests are queued only while no engine is available.
+    """
 
     def __init__(self, zone: str, random_source: random.Random):
         self._random = random_source
         self._engines: dict[str, EngineInfo] = {}
         self._waiting: list[RoutingRequest] = []
-        self._own: dict[str, str] = {}
-        self._reported: dict[str, int] = {}
+        self._in_flight: dict[str, str] = {}
+        self._reported_loads: dict[str, int] = {}
 
     def update_engine(self, info: EngineInfo, now: float) -> list[Placement]:
-        """Learn of an engine."""
+        """Add or update an engine and return the placements that this allows."""
         self._engines[info.name] = info
         waiting, self._waiting = self._waiting, []
-        return [one for request in waiting for one in self.submit(request, now)]
+        return [placement for request in waiting for placement in self.submit(request, now)]
 
     def remove_engine(self, name: str) -> None:
-        """Forget an engine."""
+        """Remove an engine."""
         self._engines.pop(name, None)
 
     def submit(self, request: RoutingRequest, now: float) -> list[Placement]:
-        """Place a request."""
+        """Place a request, or queue it if there is no engine."""
         if not self._engines:
             self._waiting.append(request)
             return []
         engine = self.choose(request, sorted(self._engines))
-        self._own[request.request_id] = engine
+        self._in_flight[request.request_id] = engine
         return [Placement(request.request_id, engine)]
 
     def choose(self, request: RoutingRequest, names: list[str]) -> str:
@@ -64,70 +71,75 @@
         raise NotImplementedError
 
     def first_token(self, request_id: str, now: float) -> list[Placement]:
-        """Baselines learn nothing from first tokens."""
+        """Ignore the first token: baselines do not use it."""
         return []
 
     def finished(self, request_id: str, cached_tokens: int, now: float) -> list[Placement]:
-        """Take the end of a request."""
-        self._own.pop(request_id, None)
+        """Record the completion of a request."""
+        self._in_flight.pop(request_id, None)
         return []
 
     def failed(self, request_id: str, now: float) -> list[Placement]:
-        """Take the loss of a request."""
-        self._own.pop(request_id, None)
+        """Record the failure of a request."""
+        self._in_flight.pop(request_id, None)
         return []
 
     def observe_load(self, engine: str, running: int, waiting: int, now: float) -> None:
-        """Take a load report."""
-        self._reported[engine] = running + waiting
+        """Record an engine's load report."""
+        self._reported_loads[engine] = running + waiting
 
     def tick(self, now: float) -> list[Placement]:
-        """Baselines hold nothing back."""
+        """Return no placements: baselines have no scheduled work."""
         return []
 
 
 class RoundRobin(BaselineNode):
-    """Each engine in turn."""
+    """Select engines in rotation, starting at a random offset."""
 
     def __init__(self, zone: str, random_source: random.Random):
         super().__init__(zone, random_source)
-        self._turn = random_source.randrange(1000)
+        self._position = random_source.randrange(1000)
 
     def choose(self, request: RoutingRequest, names: list[str]) -> str:
         """Return the next engine."""
-        self._turn += 1
-        return names[self._turn % len(names)]
+        self._position += 1
+        return names[self._position % len(names)]
 
 
 class LeastLoaded(BaselineNode):
-    """The engine with the fewest requests, reported or the node's own, whichever is more."""
+    """Select the engine with the fewest requests.
+
+    An engine's load is the larger of its reported load and this node's in-flight requests on it.
+    """
 
     def choose(self, request: RoutingRequest, names: list[str]) -> str:
-        """Return the least loaded engine; ties at random."""
-        own = list(self._own.values())
+        """Return the least loaded engine; ties are broken at random."""
+        in_flight = list(self._in_flight.values())
 
         def load(name: str) -> tuple[int, float]:
-            return max(self._reported.get(name, 0), own.count(name)), self._random.random()
+            return max(
+                self._reported_loads.get(name, 0), in_flight.count(name)
+            ), self._random.random()
 
         return min(names, key=load)
 
 
-HEAD_BLOCKS = 8
-"""Leading blocks that the prefix hash looks at: 512 tokens."""
+MAX_HASHED_BLOCKS = 8
+"""Maximum number of leading prompt blocks that the prefix hash covers."""
 
 
 class PrefixHash(BaselineNode):
-    """Rendezvous hashing on the prompt's head, without regard to load."""
+    """Select engines by rendezvous hashing of the prompt's leading blocks, ignoring load."""
 
     def choose(self, request: RoutingRequest, names: list[str]) -> str:
-        """Return the home of the prompt's head."""
+        """Return the engine that owns the hash of the prompt's leading blocks."""
         keys = request.keys("v1")
-        head = keys[min(HEAD_BLOCKS, len(keys)) - 1] if keys else request.request_id
+        head = keys[min(MAX_HASHED_BLOCKS, len(keys)) - 1] if keys else request.request_id
         return rendezvous.owner(str(head), names)
 
 
 class WheelslipNode:
-    """Wheelslip's own scheduler."""
+    """Node that places requests with the wheelslip scheduler."""
 
     def __init__(self, options: SchedulerOptions, random_source: random.Random):
         self._scheduler = Scheduler(options, random_source)
@@ -136,68 +148,74 @@
     def handle_home_reply(
         self, head: int, hints: tuple[PrefixHint, ...], now: float
     ) -> list[NodeOutput]:
-        """Take the answer of a prefix's home node."""
-        return _placements(self._scheduler.handle_home_reply(head, hints, now))
+        """Process the reply of a prefix's home node to a lookup."""
+        return _to_node_outputs(self._scheduler.handle_home_reply(head, hints, now))
 
     def update_engine(self, info: EngineInfo, now: float) -> list[Placement]:
-        """Learn of an engine."""
-        return _placements(self._scheduler.update_engine(info, now))
+        """Add or update an engine and return the placements that this allows."""
+        return _to_node_outputs(self._scheduler.update_engine(info, now))
 
     def remove_engine(self, name: str) -> None:
-        """Forget an engine."""
+        """Remove an engine."""
         self._scheduler.remove_engine(name)
 
     def submit(self, request: RoutingRequest, now: float) -> list[Placement]:
-        """Place, queue or refuse a request."""
-        return _placements(self._scheduler.submit(request, now))
+        """Place, queue or reject a request."""
+        return _to_node_outputs(self._scheduler.submit(request, now))
 
     def first_token(self, request_id: str, now: float) -> list[Placement]:
-        """Take a first token."""
-        return _placements(self._scheduler.first_token(request_id, now))
+        """Record a request's first token."""
+        return _to_node_outputs(self._scheduler.first_token(request_id, now))
 
     def finished(self, request_id: str, cached_tokens: int, now: float) -> list[Placement]:
-        """Take the end of a request."""
-        return _placements(self._scheduler.finished(request_id, cached_tokens, now))
+        """Record the completion of a request."""
+        return _to_node_outputs(self._scheduler.finished(request_id, cached_tokens, now))
 
     def failed(self, request_id: str, now: float) -> list[Placement]:
-        """Take the loss of a request."""
-        return _placements(self._scheduler.failed(request_id, now))
+        """Record the failure of a request."""
+        return _to_node_outputs(self._scheduler.failed(request_id, now))
 
     def observe_load(self, engine: str, running: int, waiting: int, now: float) -> None:
-        """Take a load report."""
+        """Record an engine's load report."""
         self._scheduler.observe_load(engine, running, waiting, now)
 
     def tick(self, now: float) -> list[Placement]:
-        """Do what is due."""
-        return _placements(self._scheduler.tick(now))
+        """Place queued requests that can be sent and reject those past their deadline."""
+        return _to_node_outputs(self._scheduler.tick(now))
 
 
-def _placements(decisions: list[Decision]) -> list[NodeOutput]:
+def _to_node_outputs(decisions: list[Decision]) -> list[NodeOutput]:
     placements: list[NodeOutput] = []
-    for one in decisions:
-        if isinstance(one, Dispatch):
-            placements.append(Placement(one.request_id, one.engine.name))
-        elif isinstance(one, HomeLookup | HomeUpdate):
-            placements.append(one)
+    for decision in decisions:
+        if isinstance(decision, Dispatch):
+            placements.append(Placement(decision.request_id, decision.engine.name))
+        elif isinstance(decision, HomeLookup | HomeUpdate):
+            placements.append(decision)
         else:
-            placements.append(Placement(one.request_id, None, one.retry_after_seconds))
+            placements.append(Placement(decision.request_id, None, decision.retry_after_seconds))
     return placements
 
 
 @dataclass(frozen=True)
 class Variant:
-    """A named way to make nodes."""
+    """Named factory of nodes.
+
+    :ivar make: create a node from its zone and random source.
+    """
 
     name: str
     make: Callable[[str, random.Random], BaselineNode | WheelslipNode]
 
 
 def wheelslip_variant(name: str = "wheelslip", **options: object) -> Variant:
-    """Return wheelslip's scheduler, with mechanisms turned off for an ablation."""
+    """Return a variant that runs the wheelslip scheduler.
+
+    :param options: further :class:`SchedulerOptions`, such as features disabled for an ablation.
+    """
     return Variant(
         name,
-        lambda zone, source: WheelslipNode(
-            SchedulerOptions(zone=zone, max_waiting=4096, **options), source
+        lambda zone, random_source: WheelslipNode(
+            SchedulerOptions(zone=zone, max_waiting=4096, **options), random_source
         ),
     )
 
