--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: traces, replay, load, scale run, reports."""
+"""Benchmarks and randomised fault runs."""
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,6 +1,7 @@
-"""Claims a second and requests to the key-value service: one swap each against batches.
+"""Throughput and latency of claims under the rate limit of the key-value service.
 
-Many threads claim keys through one :class:`ClaimStore` while the stand-in holds its rate.
+Many threads claim keys through one :class:`ClaimStore`, first with one compare-and-swap per
+request and then with batches. The stand-in for the service enforces the rate limit.
 """
 
 import subprocess
@@ -21,20 +22,23 @@
 _ENGINE = EngineInfo("engine-1", "127.0.0.1:1", "z", "i1", "m", "v1")
 
 
-def _claim_loop(store: ClaimStore, name: str, until: float, seconds: list, refused: list) -> None:
+def _claim_loop(
+    store: ClaimStore, name: str, end_time: float, latencies: list, refused: list
+) -> None:
+    """Claim new keys until a time on the monotonic clock and record latencies in seconds."""
     number = 0
-    while time.monotonic() < until:
+    while time.monotonic() < end_time:
         number += 1
         record = ClaimRecord("digest", f"{name}-{number}", _ENGINE)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            store.claim(f"/wheelslip/claims/t/{name}-{number}", record, 0, began + 0.5)
-            seconds.append(time.monotonic() - began)
+            store.claim(f"/wheelslip/claims/t/{name}-{number}", record, 0, started_at + 0.5)
+            latencies.append(time.monotonic() - started_at)
         except ClaimStoreUnavailable:
             refused.append(name)
 
 
-def _measure(batch: int, threads: int, duration: float, rate: float) -> None:
+def _measure(batch: int, thread_count: int, duration: float, rate: float) -> None:
     server = subprocess.Popen(
         [sys.executable, "-m", "standins.key_value_server", f"--address={_ADDRESS}"]
         + [f"--requests_per_second={rate}"]
@@ -44,19 +48,21 @@
         claims._MAX_BATCH = batch
         store = ClaimStore(KeyValueClient(_ADDRESS, 1.0))
         store.start()
-        seconds: list[float] = []
+        latencies: list[float] = []
         refused: list[str] = []
-        until = time.monotonic() + duration
-        workers = [
-            threading.Thread(target=_claim_loop, args=(store, f"w{n}", until, seconds, refused))
-            for n in range(threads)
+        end_time = time.monotonic() + duration
+        threads = [
+            threading.Thread(
+                target=_claim_loop, args=(store, f"w{n}", end_time, latencies, refused)
+            )
+            for n in range(thread_count)
         ]
-        for worker in workers:
-            worker.start()
-        for worker in workers:
-            worker.join()
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         counts = urllib3.request("POST", f"http://{_ADDRESS}/control", json={}).json()
-        summary = summarize(seconds)
+        summary = summarize(latencies)
         print(
             f"batches of up to {batch}: {summary.count / duration:.0f} claims/s, "
             f"{counts['requests'] / duration:.0f} requests/s to the service "
@@ -70,7 +76,12 @@
 
 
 def main(threads: int = 32, duration: float = 6.0, rate: float = 100.0) -> None:
-    """Measure one swap a claim, then batches, at the same rate limit."""
+    """Measure single and batched claims at the same rate limit.
+
+    :param threads: number of threads that claim keys.
+    :param duration: length of each measurement in seconds.
+    :param rate: rate limit of the service in requests per second.
+    """
     for batch in (1, 64):
         _measure(batch, threads, duration, rate)
 
--- a/bench/statistics_of.py
+++ b/bench/statistics_of.py
@@ -1,11 +1,11 @@
-"""Small summaries of samples for reports."""
+"""Summary statistics of samples."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Summary:
-    """Median and tails of samples."""
+    """Number, median and upper percentiles of samples, in the unit of the samples."""
 
     count: int
     median: float
@@ -14,7 +14,7 @@
 
 
 def summarize(samples: list[float]) -> Summary:
-    """Return a summary; all zero without samples."""
+    """Return the summary of samples; all fields are 0 without samples."""
     if not samples:
         return Summary(0, 0.0, 0.0, 0.0)
     ordered = sorted(samples)
@@ -26,8 +26,13 @@
     )
 
 
-def percentile(ordered: list[float], share: float) -> float:
-    """Return the nearest-rank percentile of sorted samples; 0 without samples."""
+def percentile(ordered: list[float], fraction: float) -> float:
+    """Return a percentile of sorted samples without interpolation.
+
+    :param ordered: samples in ascending order.
+    :param fraction: percentile as a fraction between 0 and 1.
+    :return: the percentile, or 0 without samples.
+    """
     if not ordered:
         return 0.0
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
