--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -103,10 +103,10 @@
     engine_urls = itertools.cycle(
         f"http://{machine['address']}/v1/chat/completions" for machine in cluster.machines()
     )
-    through_node_turns = itertools.cycle((True, False))
+    path_choices = itertools.cycle((True, False))
 
     def start() -> threading.Thread:
-        if next(through_node_turns):
+        if next(path_choices):
             return _start_thread(_call, cluster, node_url, _body(), through_node)
         body = _body() | {"model": "matcher"}
         return _start_thread(_call, cluster, next(engine_urls), body, direct)
