--- a/bench/soak.py
+++ b/bench/soak.py
@@ -414,7 +414,7 @@
     )
     lines = [
         f"seed {seed}: {len(history.faults)} faults, {len(history.calls)} requests, "
-        f"{len(outcomes)} calls, {sum(outcome.is_complete for outcome in finals)} whole",
+        f"{len(outcomes)} calls, {sum(final.is_complete for final in finals)} whole",
         f"not repeatable: {non_repeatable_complete} of {len(non_repeatable)} whole in the end",
         f"not whole: {dict(failure_kinds)}",
         f"changes: {dict(Counter(change.result for change in history.changes))}",
