--- a/src/wheelslip/engines/directory.py
+++ b/src/wheelslip/engines/directory.py
@@ -108,24 +108,24 @@
 
 
 def assigned_engines(
-    me: MemberInfo, members: tuple[MemberInfo, ...], machines: Iterable[Machine]
+    this_node: MemberInfo, members: tuple[MemberInfo, ...], machines: Iterable[Machine]
 ) -> tuple[str, ...]:
-    """Return the names of the engines whose status the node ``me`` reads.
+    """Return the names of the engines whose status this node reads.
 
     Each engine is assigned to one live node of its zone by rendezvous hashing, or to one of
     all live nodes when its zone has none.
     """
     zones = {member.zone for member in members}
-    same_zone = [member.name for member in members if member.zone == me.zone]
+    same_zone = [member.name for member in members if member.zone == this_node.zone]
     all_names = [member.name for member in members]
     assigned = []
     for machine in machines:
         if machine.role is not MachineRole.ENGINE:
             continue
-        if machine.zone != me.zone and machine.zone in zones:
+        if machine.zone != this_node.zone and machine.zone in zones:
             continue
-        names = same_zone if machine.zone == me.zone else all_names
-        if rendezvous.owner(f"{_READER_ROLE}/{machine.name}", names) == me.name:
+        names = same_zone if machine.zone == this_node.zone else all_names
+        if rendezvous.owner(f"{_READER_ROLE}/{machine.name}", names) == this_node.name:
             assigned.append(machine.name)
     return tuple(assigned)
 
@@ -133,21 +133,21 @@
 class EngineDirectory:
     """Tracks the engines and reports their states to the router task.
 
-    :param me: this node.
+    :param this_node: membership record of this node.
     :param members: returns the live nodes, among which status reads are distributed.
     :param publish: publishes a replicated record, given its key and value.
     """
 
     def __init__(
         self,
-        me: MemberInfo,
+        this_node: MemberInfo,
         machine_list: MachineListClient,
         client: EngineClient,
         router: RouterTask,
         members: Callable[[], tuple[MemberInfo, ...]],
         publish: Callable[[str, object], None],
     ):
-        self._me = me
+        self._this_node = this_node
         self._machine_list = machine_list
         self._client = client
         self._router = router
@@ -271,7 +271,9 @@
         ):
             # Recomputed only after a change: hashing every engine on each pass is expensive.
             self._assigned_for_members, self._assigned_for_machines = members, self._machines
-            self._assigned_engines = assigned_engines(self._me, members, self._machines.values())
+            self._assigned_engines = assigned_engines(
+                self._this_node, members, self._machines.values()
+            )
         for name in self._assigned_engines:
             self._read_status(name)
 
--- a/src/wheelslip/forwarding/answer_notices.py
+++ b/src/wheelslip/forwarding/answer_notices.py
@@ -20,7 +20,7 @@
 """Maximum number of incarnations recorded for a logged unreadable limit; the oldest are evicted."""
 
 
-class AnswerSource(enum.Enum):
+class ResponseSource(enum.Enum):
     """The call by which a node received a notice."""
 
     REQUEST = "request"
@@ -29,7 +29,7 @@
     PEER = "peer"
 
 
-class AnswerNotices(WorkerNotices):
+class ResponseNotices(WorkerNotices):
     """Notices that this node received from workers; changes are logged.
 
     :param announce: called when the choice of workers may change.
@@ -53,7 +53,7 @@
         info: WorkerInfo,
         status: int,
         answer: ResponseMetadata,
-        source: AnswerSource,
+        source: ResponseSource,
         sent_at: float = float("-inf"),
     ) -> None:
         """Record the notices in the headers of a response.
@@ -77,7 +77,7 @@
         info: WorkerInfo,
         status: int,
         answer: ResponseMetadata,
-        source: AnswerSource,
+        source: ResponseSource,
         sent_at: float,
     ) -> None:
         before = self.limits.rate(info.id)
@@ -86,7 +86,7 @@
             self._log_unreadable(info, answer.unreadable_limit)
         elif answer.rate_limit is not None:
             report = self.limits.record_limit(info.id, answer.rate_limit)
-        elif source is AnswerSource.REQUEST and status not in UNSERVED_STATUSES:
+        elif source is ResponseSource.REQUEST and status not in UNSERVED_STATUSES:
             report = self.limits.record_no_limit(info.id, sent_at)
         if report is not None:
             self.report_limit(report)
@@ -94,7 +94,7 @@
             self._limit_changed(info.id, source, 0.0)
 
     def _limit_changed(
-        self, incarnation: Incarnation, source: AnswerSource, age: float, **fields: object
+        self, incarnation: Incarnation, source: ResponseSource, age: float, **fields: object
     ) -> None:
         """Log the current limit of a worker and announce the change."""
         rate = self.limits.rate(incarnation)
@@ -115,7 +115,7 @@
         apply = self.limits.count_report if counts_responses else self.limits.merge
         if not apply(report):
             return False
-        self._limit_changed(report.incarnation, AnswerSource.PEER, report.age, reported_by=peer)
+        self._limit_changed(report.incarnation, ResponseSource.PEER, report.age, reported_by=peer)
         return True
 
     def _log_unreadable(self, info: WorkerInfo, value: str) -> None:
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -12,7 +12,7 @@
     ResponseMetadata,
     RouteKind,
 )
-from wheelslip.forwarding.answer_notices import AnswerSource
+from wheelslip.forwarding.answer_notices import ResponseSource
 from wheelslip.forwarding.assignment import Assignment
 from wheelslip.forwarding.caller_connection import CallerConnection
 from wheelslip.forwarding.event_stream import EventSplitter, StreamEvent
@@ -202,7 +202,7 @@
         """
         while True:
             response = await self._connection.next_event()
-            answer = self._services.dialect.decode_answer(response.headers)
+            answer = self._services.dialect.decode_response(response.headers)
             if answer.request_id in (None, self._job.request.metadata.request_id):
                 return response, answer
             while not isinstance(await self._connection.next_event(), h11.EndOfMessage):
@@ -217,7 +217,9 @@
             # Another process listens at the address; its headers do not describe this worker.
             registry.mark_replaced(info.id)
             return
-        registry.notices.record_response(info, status, answer, AnswerSource.REQUEST, self._sent_at)
+        registry.notices.record_response(
+            info, status, answer, ResponseSource.REQUEST, self._sent_at
+        )
         if answer.weights_version is not None and model:
             registry.record_weights(info.id, model, answer.weights_version)
 
--- a/src/wheelslip/forwarding/control_calls.py
+++ b/src/wheelslip/forwarding/control_calls.py
@@ -21,7 +21,7 @@
 """Maximum number of connections kept open between calls."""
 
 
-class ControlAnswer(NamedTuple):
+class ControlResponse(NamedTuple):
     """Complete response of a worker to a control call."""
 
     response: h11.Response
@@ -42,7 +42,7 @@
 
     async def exchange(
         self, worker: WorkerInfo, method: str, target: bytes, headers: Headers, body: bytes = b""
-    ) -> ControlAnswer:
+    ) -> ControlResponse:
         """Send a request and return the complete response.
 
         :raises WorkerUnreachable: if no complete response is received in time.
@@ -51,7 +51,7 @@
         try:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 connection.send(method, target, headers, body)
-                answer = ControlAnswer(*await read_response(connection))
+                answer = ControlResponse(*await read_response(connection))
         except (PeerLost, TimeoutError) as error:
             connection.close()
             raise WorkerUnreachable(f"{target.decode()}: {error!r}") from error
@@ -71,7 +71,7 @@
         self, worker: WorkerInfo, connection: HttpConnection, response: h11.Response
     ) -> None:
         """Keep a connection open for the next call, or close it if it cannot be reused."""
-        closes = self._dialect.decode_answer(response.headers).closes_connection
+        closes = self._dialect.decode_response(response.headers).closes_connection
         self._idle = {key: idle for key, idle in self._idle.items() if idle.open}
         if closes or not connection.reusable or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
--- a/src/wheelslip/forwarding/forwarder.py
+++ b/src/wheelslip/forwarding/forwarder.py
@@ -109,26 +109,26 @@
             self._record_completion(job)
         except TimeoutError:
             kind = ErrorKind.DEADLINE_PASSED if job.may_have_run else ErrorKind.NO_ENGINE
-            self._answer_error(WheelslipError(kind, "deadline reached"), request_id, caller)
+            self._send_error(WheelslipError(kind, "deadline reached"), request_id, caller)
         except WheelslipError as error:
-            self._answer_error(error, request_id, caller)
+            self._send_error(error, request_id, caller)
         except Exception as error:
             log_event(LogEvent.REQUEST_FAULT, request=request_id, reason=repr(error))
             fault = WheelslipError(ErrorKind.INTERNAL_ERROR, "internal error in wheelslip")
-            self._answer_error(fault, request_id, caller)
+            self._send_error(fault, request_id, caller)
 
     def refuse(
         self, error: WheelslipError, received: ReceivedRequest, caller: CallerConnection
     ) -> None:
         """Answer a request with an error without processing it."""
-        self._answer_error(error, self._request_id(received), caller)
+        self._send_error(error, self._request_id(received), caller)
 
     def _request_id(self, received: ReceivedRequest) -> str | None:
         with contextlib.suppress(ValueError):
             return self._dialect.decode_request(received.headers).request_id or None
         return None
 
-    def _answer_error(
+    def _send_error(
         self, error: WheelslipError, request_id: str | None, caller: CallerConnection
     ) -> None:
         self._metrics.requests[("any", error.kind.value)] += 1
@@ -143,7 +143,7 @@
             caller.abort()
             return
         status, headers, body = error_response(error, request_id)
-        headers += self._dialect.own_answer_headers(request_id)
+        headers += self._dialect.own_response_headers(request_id)
         if self._registry.age() > MAX_VIEW_AGE_SECONDS:
             # The registry view is stale: make the caller reconnect, possibly to another node.
             headers.append((b"Connection", b"close"))
--- a/src/wheelslip/forwarding/interface.py
+++ b/src/wheelslip/forwarding/interface.py
@@ -18,7 +18,7 @@
     UnusableEntry,
     WorkerInfo,
 )
-from wheelslip.forwarding.answer_notices import AnswerSource
+from wheelslip.forwarding.answer_notices import ResponseSource
 from wheelslip.keyvalue.model import RangeResult, Transaction, TransactionResult, WatchBatch
 
 
@@ -34,10 +34,10 @@
     def worker_headers(self, request: ForwardedRequest, dispatch: Dispatch) -> Headers:
         """Return the headers of a request to a worker, without those that frame the body."""
 
-    def own_answer_headers(self, request_id: str | None) -> Headers:
+    def own_response_headers(self, request_id: str | None) -> Headers:
         """Return the headers that the node adds to every response that it generates itself."""
 
-    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
+    def decode_response(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
         """Decode the headers of a worker's response; names are in lower case."""
 
 
@@ -131,10 +131,10 @@
 class WorkerControl(Protocol):
     """Control calls to workers.
 
-    :ivar on_answer: called with the status and the metadata of each response.
+    :ivar on_response: called with the status and the metadata of each response.
     """
 
-    on_answer: Callable[[WorkerInfo, int, ResponseMetadata, AnswerSource], None]
+    on_response: Callable[[WorkerInfo, int, ResponseMetadata, ResponseSource], None]
 
     async def report(self, worker: WorkerInfo) -> WorkerReport:
         """Request the status report of a worker.
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -62,7 +62,7 @@
     """A node with all its roles, in one process.
 
     :param settings_path: path of a TOML file, read again when it changes and on SIGHUP.
-    :param requests: dialect of requests and answers.
+    :param requests: dialect of requests and responses.
     :param documents: dialect of the registry's keys and documents.
     :param make_store: builds the store client from a function that returns the store's address.
     :param control: client for the workers' reports and orders.
@@ -83,7 +83,7 @@
         random_source = random.Random()
         store = make_store(lambda: self.settings.store.address)
         self._registry = Registry(documents, self.bounds, clock)
-        control.on_answer = self._registry.notices.record_response
+        control.on_response = self._registry.notices.record_response
         section = self.settings.node
         self._table = table = LoadTable()
         self._pool = WorkerPool(clock)
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -20,7 +20,7 @@
     WorkerInfo,
 )
 from wheelslip.events import LogBudget, LogEvent, log_event
-from wheelslip.forwarding.answer_notices import AnswerNotices
+from wheelslip.forwarding.answer_notices import ResponseNotices
 from wheelslip.forwarding.entry_log import EntryLog
 from wheelslip.forwarding.interface import RegistryDialect
 from wheelslip.forwarding.settings import BoundsSection
@@ -67,7 +67,7 @@
     :ivar entry_log: latest value of every key of the store.
     :ivar health: availability of the store.
     :ivar configuration: the configuration in force; ``None`` before the first one was read.
-    :ivar notices: shutdown, backoff and rate limit notices from the answers of workers.
+    :ivar notices: shutdown, backoff and rate limit notices from the responses of workers.
     :ivar loading: incarnations that the rollout takes out of service to load weights.
     :ivar on_system_entry: called with the key of each changed entry that wheelslip itself writes.
     :ivar refused_entries: number of unreadable documents since the start; unchanged ones count
@@ -93,7 +93,7 @@
         self._refused: dict[str, UnusableEntry] = {}
         self.refused_entries = 0
         self.configuration: RoutingConfiguration | None = None
-        self.notices = AnswerNotices(clock, self._notify_changed)
+        self.notices = ResponseNotices(clock, self._notify_changed)
         self.view = WorkerView(bounds, clock, self.notices)
         self.loading: frozenset[Incarnation] = frozenset()
         self.loading_recorded_at = clock()
@@ -336,7 +336,7 @@
         )
 
     def withheld(self, service: str) -> frozenset[Incarnation]:
-        """Return the workers of a service that have asked this node to send no requests now."""
+        """Return the workers of a service at which no request may begin now."""
         return self.notices.withheld(
             worker.info.id for worker in self.workers.values() if worker.info.service == service
         )
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -130,17 +130,17 @@
         try:
             if self._revision is None:
                 listing = await self._store.range("")
-                self._record_answer(sent_at)
+                self._record_response(sent_at)
                 self._apply_listing(listing)
             else:
                 batch = await self._store.watch("", self._revision, wait_seconds)
-                self._record_answer(sent_at)
+                self._record_response(sent_at)
                 await self._apply_changes(batch)
             self._registry.confirm(sent_at)
         except WatchCompacted:
             # The store answered, so compacted history is no outage. The view stays in force until
             # a new listing has been read.
-            self._record_answer(sent_at)
+            self._record_response(sent_at)
             self._revision = None
         except KeyValueError as exc:
             if stall.seconds() < STALL_SECONDS:
@@ -165,8 +165,8 @@
         self._revision = max(self._revision or 0, revision)
         self._registry.entry_log.revision = max(self._registry.entry_log.revision, self._revision)
 
-    def _record_answer(self, sent_at: float) -> None:
-        """Record that the store answered; call this before the answer's changes are applied."""
+    def _record_response(self, sent_at: float) -> None:
+        """Record that the store answered; call this before its changes are applied."""
         if self._failures >= OUTAGE_FAILURES:
             log_event(LogEvent.KEY_VALUE_REGAINED)
         self._failures = 0
--- a/src/wheelslip/forwarding/relay.py
+++ b/src/wheelslip/forwarding/relay.py
@@ -1,8 +1,8 @@
 """The relay of each zone, which distributes changes of the store to the nodes of its zone.
 
 The relay of a zone holds a leased key whose value is the address at which it answers polls. The
-relay with the smallest key reads the store, and the other relays poll it. A node that knows no
-relay, or whose relay is unreachable or stale, reads the store itself, so the loss of a relay adds
+relay with the smallest key reads the store, and the other relays poll it. A node without a
+known relay, or whose relay is unreachable or stale, reads the store itself, so the loss of a relay adds
 calls to the store but does not make views stale.
 """
 
--- a/src/wheelslip/node.py
+++ b/src/wheelslip/node.py
@@ -80,7 +80,7 @@
             SchedulerOptions(
                 zone=node.zone,
                 max_waiting=limits.max_waiting_requests,
-                ask_timeout_seconds=limits.home_answer_seconds,
+                home_lookup_timeout_seconds=limits.home_answer_seconds,
             ),
             self._prefix_link,
         )
--- a/src/wheelslip/operators/api.py
+++ b/src/wheelslip/operators/api.py
@@ -62,7 +62,7 @@
 class OperatorServices:
     """Components of the node that the operator API uses."""
 
-    me: MemberInfo
+    this_node: MemberInfo
     caller: PeerCaller
     store: ConfigurationStore
     configuration: ConfigurationTask
@@ -183,8 +183,8 @@
         services = self._services
         reply = services.configuration.revision_reply()
         document = {
-            "node": services.me.name,
-            "zone": services.me.zone,
+            "node": services.this_node.name,
+            "zone": services.this_node.zone,
             "version": __version__,
             "revision": reply.revision,
             "members": [
@@ -235,7 +235,7 @@
 
     def _query_revision(self, member: MemberInfo) -> RevisionReply | None:
         """Return the member's reply, or ``None`` if it is unreachable."""
-        if member.name == self._services.me.name:
+        if member.name == self._services.this_node.name:
             return self._services.configuration.revision_reply()
         try:
             reply = self._services.caller.call(
--- a/src/wheelslip/operators/task.py
+++ b/src/wheelslip/operators/task.py
@@ -95,16 +95,16 @@
 
     def __init__(
         self,
-        me: MemberInfo,
+        this_node: MemberInfo,
         caller: PeerCaller,
         seeds: tuple[str, ...],
         store: ConfigurationStore | None,
         members: Callable[[], tuple[MemberInfo, ...]],
         on_in_force: Callable[[Configuration], None],
     ):
-        self._me = me
+        self._this_node = this_node
         self._caller = caller
-        self._seeds = tuple(seed for seed in seeds if seed != me.address)
+        self._seeds = tuple(seed for seed in seeds if seed != this_node.address)
         self._store = store
         self._members = members
         self._on_in_force = on_in_force
@@ -174,7 +174,7 @@
     def revision_reply(self) -> RevisionReply:
         """Return the revision in force on this node."""
         revision = self.in_force.revision if self.in_force else 0
-        return RevisionReply(self._me.name, self._me.zone, revision)
+        return RevisionReply(self._this_node.name, self._this_node.zone, revision)
 
     def _run(self) -> None:
         while not self._stopping.is_set():
@@ -227,9 +227,9 @@
         Called before the state is put in force. Unreachable peers are skipped; there is no error
         if too few peers could be reached.
         """
-        others = [member for member in self._members() if member.name != self._me.name]
+        others = [member for member in self._members() if member.name != self._this_node.name]
         random.shuffle(others)
-        others.sort(key=lambda member: member.zone == self._me.zone)
+        others.sort(key=lambda member: member.zone == self._this_node.zone)
         push = ConfigurationPush(self._replica.state)
         copies = 0
         for member in others[: 2 * _REPLICATION_PEERS]:
@@ -330,6 +330,6 @@
 
     def _is_watcher(self) -> bool:
         """Return whether rendezvous hashing selects this node among the zone's live members."""
-        zone = self._me.zone
+        zone = self._this_node.zone
         names = [member.name for member in self._members() if member.zone == zone]
-        return rendezvous.owner(f"{_WATCHER_KEY}/{zone}", names) == self._me.name
+        return rendezvous.owner(f"{_WATCHER_KEY}/{zone}", names) == self._this_node.name
--- a/src/wheelslip/peers/dispatch_link.py
+++ b/src/wheelslip/peers/dispatch_link.py
@@ -179,7 +179,7 @@
                     raise TenantLimited(query.tenant, reply.retry_seconds)
                 if reply.charged:
                     return
-        self._dispatcher.count(query_id, query)
+        self._dispatcher.charge(query_id, query)
 
     def _next_query_id(self) -> QueryId:
         self._last_query_number += 1
--- a/src/wheelslip/peers/dispatch_server.py
+++ b/src/wheelslip/peers/dispatch_server.py
@@ -81,7 +81,7 @@
 
     def _charge(self, query: WorkerQuery) -> WorkerGrant:
         try:
-            self._dispatcher.count(query.query_id(), query.placement_query())
+            self._dispatcher.charge(query.query_id(), query.placement_query())
         except TenantLimited as exc:
             return self._refuse_tenant(query, exc)
         except NoAuthority:
--- a/src/wheelslip/platform/headers.py
+++ b/src/wheelslip/platform/headers.py
@@ -133,7 +133,7 @@
                 headers.append((KV_SAVE, dispatch.cache.save_to.encode()))
         return headers
 
-    def decode_answer(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
+    def decode_response(self, headers: Iterable[tuple[bytes, bytes]]) -> ResponseMetadata:
         """Decode the headers of a worker's response."""
         values = {name.lower(): value.decode("latin-1") for name, value in headers}
         version = values.get(_VERSIONS, "")
@@ -153,7 +153,7 @@
             unreadable_limit=limit[:MAX_LOGGED_CHARACTERS] if limit and rate is None else "",
         )
 
-    def own_answer_headers(self, request_id: str | None) -> Headers:
+    def own_response_headers(self, request_id: str | None) -> Headers:
         """Return the headers of a response that the node generates itself."""
         return [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
 
--- a/src/wheelslip/platform/workers.py
+++ b/src/wheelslip/platform/workers.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from wheelslip.deployment import ResponseMetadata, WorkerInfo
-from wheelslip.forwarding.answer_notices import AnswerSource
-from wheelslip.forwarding.control_calls import ControlAnswer, ControlCalls
+from wheelslip.forwarding.answer_notices import ResponseSource
+from wheelslip.forwarding.control_calls import ControlCalls, ControlResponse
 from wheelslip.forwarding.interface import WeightsOrder, WorkerReport, WorkerUnreachable
 from wheelslip.platform.headers import EXPECT_INSTANCE, PlatformHeaders
 
@@ -28,13 +28,13 @@
 class PlatformWorkers:
     """Client for the reports and orders of workers.
 
-    :ivar on_answer: called with the metadata of each response that is not from another worker.
+    :ivar on_response: called with the metadata of each response that is not from another worker.
     """
 
     def __init__(self):
         self._dialect = PlatformHeaders()
         self._calls = ControlCalls(self._dialect)
-        self.on_answer: Callable[[WorkerInfo, int, ResponseMetadata, AnswerSource], None] = (
+        self.on_response: Callable[[WorkerInfo, int, ResponseMetadata, ResponseSource], None] = (
             lambda worker, status, metadata, source: None
         )
 
@@ -42,14 +42,14 @@
         """Request the report of a worker (`GET /report`)."""
         response = await self._exchange(worker, "GET", b"/report")
         if response.status != 200:
-            self._notify(worker, response, AnswerSource.REPORT)
+            self._notify(worker, response, ResponseSource.REPORT)
             raise WorkerUnreachable(f"report: status {response.status}")
         try:
             report = msgspec.json.decode(response.body, type=_Report)
         except msgspec.MsgspecError as error:
             raise WorkerUnreachable(f"report: {error}") from error
         if report.born in (0, worker.born):
-            self._notify(worker, response, AnswerSource.REPORT)
+            self._notify(worker, response, ResponseSource.REPORT)
         weights = {model.name: model.version for model in report.model_ids}
         return WorkerReport(
             report.busy, report.sequence, weights, report.active, report.queued, report.born
@@ -69,19 +69,19 @@
         response = await self._exchange(
             order.worker, "POST", b"/order", msgspec.json.encode(document)
         )
-        self._notify(order.worker, response, AnswerSource.ORDER)
+        self._notify(order.worker, response, ResponseSource.ORDER)
         return response.status
 
     async def _exchange(
         self, worker: WorkerInfo, method: str, target: bytes, body: bytes = b""
-    ) -> ControlAnswer:
+    ) -> ControlResponse:
         headers = [(b"Host", worker.address.encode()), (EXPECT_INSTANCE, worker.worker_id.encode())]
         if body:
             headers.append((b"Content-Type", b"application/json"))
             headers.append((b"Content-Length", b"%d" % len(body)))
         return await self._calls.exchange(worker, method, target, headers, body)
 
-    def _notify(self, worker: WorkerInfo, response: ControlAnswer, source: AnswerSource) -> None:
-        metadata = self._dialect.decode_answer(response.response.headers)
+    def _notify(self, worker: WorkerInfo, result: ControlResponse, source: ResponseSource) -> None:
+        metadata = self._dialect.decode_response(result.response.headers)
         if metadata.instance in (None, worker.worker_id):
-            self.on_answer(worker, response.status, metadata, source)
+            self.on_response(worker, result.status, metadata, source)
--- a/src/wheelslip/routing/cost.py
+++ b/src/wheelslip/routing/cost.py
@@ -60,8 +60,8 @@
     home_preference: bool = True
     feedback: bool = True
     class_priority: bool = True
-    ask_home: bool = True
-    ask_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS
+    use_home_lookup: bool = True
+    home_lookup_timeout_seconds: float = HOME_LOOKUP_TIMEOUT_SECONDS
 
 
 @dataclass(frozen=True)
--- a/src/wheelslip/routing/crash_ledger.py
+++ b/src/wheelslip/routing/crash_ledger.py
@@ -169,7 +169,7 @@
         return max(waits, default=0.0)
 
     def ended_at(self, incarnation: Incarnation) -> float | None:
-        """Return when this node learned that a worker crashed, ``None`` if it did not."""
+        """Return when the first crash of a worker was recorded; ``None`` without one."""
         fingerprints = self._fingerprints.get(incarnation, ())
         return min(
             (self._records[fingerprint][incarnation].recorded_at for fingerprint in fingerprints),
--- a/src/wheelslip/routing/dispatcher.py
+++ b/src/wheelslip/routing/dispatcher.py
@@ -27,8 +27,8 @@
 
 SWEEP_INTERVAL_SECONDS = 0.5
 
-COUNT_DEDUPLICATION_SECONDS = 2.0
-"""How long a repeated count-only query is recognized; longer than a node waits for a reply."""
+CHARGE_DEDUPLICATION_SECONDS = 2.0
+"""How long a repeated charge-only query is recognized; longer than a node waits for a reply."""
 
 
 class Progress(Enum):
@@ -85,7 +85,7 @@
         self._allowance = allowance
         self._choice = RateLimitedChoice(placement, allowance)
         self._clock = clock
-        self._counted: dict[QueryId, float] = {}
+        self._charged: dict[QueryId, float] = {}
         self._grants: dict[QueryId, _Grant] = {}
         self._last_contact: dict[str, float] = {}
         self._swept_at = clock()
@@ -132,7 +132,7 @@
             self._limits.refund(tenant_charge)
         return placement
 
-    def count(self, query_id: QueryId, query: PlacementQuery) -> None:
+    def charge(self, query_id: QueryId, query: PlacementQuery) -> None:
         """Charge a request to its tenant's rate limit without choosing a worker.
 
         :raises TenantLimited: when the tenant exceeds its rate limit.
@@ -140,9 +140,9 @@
         """
         self._record_contact(query_id.node)
         self._sweep()
-        if query_id not in self._counted:
+        if query_id not in self._charged:
             self._limits.charge(query)
-            self._counted[query_id] = self._clock() + COUNT_DEDUPLICATION_SECONDS
+            self._charged[query_id] = self._clock() + CHARGE_DEDUPLICATION_SECONDS
 
     def record_progress(self, query_id: QueryId, progress: Progress) -> None:
         """Apply a node's progress report; reports on unknown grants are ignored."""
@@ -211,7 +211,7 @@
             if unlisted and now - grant.began_at > UNLISTED_GRACE_SECONDS:
                 self._end(query_id)
         for request in requests:
-            self._restore_grant(QueryId(node, request.ask), request)
+            self._restore_grant(QueryId(node, request.query_number), request)
 
     def _restore_grant(self, query_id: QueryId, request: RunningRequest) -> None:
         """Rebuild a missing grant, and apply a first-token report that was lost."""
@@ -239,9 +239,9 @@
         if now - self._swept_at < SWEEP_INTERVAL_SECONDS:
             return
         self._swept_at = now
-        self._counted = {
+        self._charged = {
             query_id: expires_at
-            for query_id, expires_at in self._counted.items()
+            for query_id, expires_at in self._charged.items()
             if now < expires_at
         }
         timed_out = {
--- a/src/wheelslip/routing/fleet_choice.py
+++ b/src/wheelslip/routing/fleet_choice.py
@@ -53,11 +53,11 @@
 class RunningRequest(NamedTuple):
     """A running request of a node, reported to a dispatcher without a record of it.
 
-    :ivar ask: number of the placement query at the node.
+    :ivar query_number: number of the placement query at the node.
     :ivar prefill_tokens: prompt tokens still to be computed; 0 after the first token.
     """
 
-    ask: int
+    query_number: int
     worker: Incarnation
     weights_version: int | None
     chain: Chain
--- a/src/wheelslip/routing/limit_authority.py
+++ b/src/wheelslip/routing/limit_authority.py
@@ -1,12 +1,12 @@
 """Share of the rate limits that a node may grant, derived from votes of the nodes.
 
-Requests are counted against limits by one node, the meter. Each node votes for one meter at a
+Requests are charged to limits by one node, the meter. Each node votes for one meter at a
 time; a vote is valid for a short while and cannot move to another meter until it has expired or the
 meter has returned it. A meter may grant the fraction of each limit that its valid votes are of all
 nodes. This keeps the sum of all shares within the limit and its allowed overage while messages are
 lost and nodes are paused or partitioned, and an unreachable meter loses its share when its votes
 expire, without a call to the store. In normal operation all nodes vote for the same meter, which
-then counts exactly.
+then charges exactly.
 
 The module does no I/O; the clock is injected.
 """
--- a/src/wheelslip/routing/scheduler.py
+++ b/src/wheelslip/routing/scheduler.py
@@ -81,7 +81,7 @@
         self._queue = FairQueue()
         self._in_flight: dict[str, _InFlightRequest] = {}
         self._prefills = ActivePrefills()
-        self._registry_client = PrefixRegistryClient(options.ask_timeout_seconds)
+        self._registry_client = PrefixRegistryClient(options.home_lookup_timeout_seconds)
         self._chooser = EngineChooser(options, self._engines, self._index, self._prefills)
         self._departures = _DepartureRate()
 
@@ -266,7 +266,7 @@
         ``None`` when the request can be dispatched; an empty list while a lookup is pending.
         """
         uncached = request.prompt_tokens - choice.indexed_blocks * BLOCK_TOKENS
-        if not self._options.ask_home or uncached < LONG_PREFILL_MIN_TOKENS:
+        if not self._options.use_home_lookup or uncached < LONG_PREFILL_MIN_TOKENS:
             return None
         engine = choice.engine
         keys = request.keys(engine.info.weights_version)
@@ -279,7 +279,7 @@
     def _home_updates(
         self, in_flight: _InFlightRequest, seconds: float, now: float, urgent: bool = False
     ) -> list[Decision]:
-        if not self._options.ask_home:
+        if not self._options.use_home_lookup:
             return []
         return self._registry_client.update(in_flight.engine, in_flight.keys, seconds, now, urgent)
 
--- a/src/wheelslip/routing/tenant_limits.py
+++ b/src/wheelslip/routing/tenant_limits.py
@@ -30,8 +30,8 @@
 """Range of the retry time that a refused caller receives."""
 
 MIN_METER_SHARE = 0.5
-"""Smallest share of a regular meter. With less, callers are told to retry after the validity of a
-vote, when votes have moved to another meter."""
+"""Smallest share of a regular meter. With less, the retry time of callers is the validity of a
+vote, after which votes have moved to another meter."""
 
 RESERVE_SHARE = 0.5
 """Fraction of the allowed excess of a limit that the reserves of all standby meters hold."""
@@ -170,8 +170,8 @@
     def update(self) -> None:
         """Apply the configured limits if they have changed.
 
-        Buckets of the first configuration start empty, since this node does not know what was
-        granted before it started. The bucket of a tenant added later starts full.
+        Buckets of the first configuration start empty, since it is unknown what was
+        granted before this node started. The bucket of a tenant added later starts full.
         """
         limits = self._configured_limits()
         if limits is self._limits:
--- a/src/wheelslip/routing/worker_choice.py
+++ b/src/wheelslip/routing/worker_choice.py
@@ -241,7 +241,7 @@
     def _sample(self, candidates: list[Worker], home: Worker | None) -> list[Worker]:
         """Return the home and a few random workers.
 
-        All nodes see the same loads with a delay. If each node compared all workers, they would
+        All nodes receive the same loads with a delay. If each node compared all workers, they would
         all send to the same least loaded one.
         """
         sample = self._random.sample(candidates, min(SAMPLED_WORKERS, len(candidates)))
--- a/src/wheelslip/weights/controller.py
+++ b/src/wheelslip/weights/controller.py
@@ -28,14 +28,14 @@
 
     def __init__(
         self,
-        me: MemberInfo,
+        this_node: MemberInfo,
         key_value: KeyValueClient,
         client: EngineClient,
         directory: EngineDirectory,
         members: Callable[[], tuple[MemberInfo, ...]],
         configuration: Callable[[], Configuration | None],
     ):
-        self._me = me
+        self._this_node = this_node
         self._key_value = key_value
         self._client = client
         self._directory = directory
@@ -70,7 +70,7 @@
 
     def _owns(self, pool: str) -> bool:
         names = [member.name for member in self._members()]
-        return rendezvous.owner(f"{_DUTY}/{pool}", names) == self._me.name
+        return rendezvous.owner(f"{_DUTY}/{pool}", names) == self._this_node.name
 
     def _engines(self, desired_versions: dict[str, str]) -> list[EngineInfo]:
         return [engine for engine in self._directory.engines() if engine.model in desired_versions]
@@ -90,7 +90,7 @@
         lease = self._leases.get(pool)
         if lease is None:
             duty = f"{_DUTY}/{pool}"
-            lease = DutyLease(self._key_value, duty, self._me.name, LEASE_SECONDS)
+            lease = DutyLease(self._key_value, duty, self._this_node.name, LEASE_SECONDS)
             self._leases[pool] = lease
         try:
             token = lease.fencing_token()
