--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -39,7 +39,7 @@
 
 def decision_microseconds(blocks: int, engines: int) -> float:
     """Return the mean time of one request's calls: submit, first token, end."""
-    scheduler = Scheduler(SchedulerOptions(ask_home=False), random.Random(1))
+    scheduler = Scheduler(SchedulerOptions(use_home_lookup=False), random.Random(1))
     for number in range(engines):
         info = EngineInfo(f"e{number}", "", "z", "i", "m", "v1")
         scheduler.update_engine(info, 0.0)
--- a/bench/forwarding_callers.py
+++ b/bench/forwarding_callers.py
@@ -140,11 +140,11 @@
 
         Whoever does not in time is a violation.
         """
-        give_up_at = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         for name in self._world.nodes:
             for path in ("/safe/x", "/resumed/x"):
                 while (await self.call(name, path, self._world.keys[-1])).status != 200:
-                    if time.monotonic() > give_up_at:
+                    if time.monotonic() > deadline:
                         text = f"{name} does not serve {path} without faults"
                         self._world.record.violations.append(text)
                         break
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -23,7 +23,7 @@
     "no follow": {"follow": False},
     "no home": {"home_preference": False},
     "no feedback": {"feedback": False},
-    "no home talk": {"ask_home": False},
+    "no home talk": {"use_home_lookup": False},
     "no class order": {"class_priority": False},
 }
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -215,13 +215,13 @@
         headers = {"X-Deadline-Seconds": "3"}
         if not call.repeatable:
             headers["Idempotency-Key"] = call.nonce
-        give_up_at = time.monotonic() + _GIVE_UP_SECONDS
+        deadline = time.monotonic() + _GIVE_UP_SECONDS
         while True:
             node = source.choice(list(self._cluster.nodes))
             outcome = send(self._cluster, node, body, headers, key=key, timeout=20)
             call.outcomes.append((node, outcome))
             again = bool(outcome.failure) or (outcome.error or {}).get("retry", False)
-            if call.repeatable or outcome.is_complete or not again or time.monotonic() > give_up_at:
+            if call.repeatable or outcome.is_complete or not again or time.monotonic() > deadline:
                 return
             time.sleep(0.2)
 
--- a/scripts/prove_failing.py
+++ b/scripts/prove_failing.py
@@ -197,8 +197,8 @@
         "home node not queried",
         4,
         "routing/scheduler.py",
-        "if not self._options.ask_home or uncached",
-        "if self._options.ask_home or uncached",
+        "if not self._options.use_home_lookup or uncached",
+        "if self._options.use_home_lookup or uncached",
         "test_own_answer.py::test_cold_prefix_is_not_computed_by_every_node",
     ),
     _single_edit(
--- a/tests/probe/test_at_most_once.py
+++ b/tests/probe/test_at_most_once.py
@@ -26,10 +26,10 @@
 
 def send_until_final(cluster, node, nonce, headers, tokens=8, seconds=30.0):
     """Send a request repeatedly while its error permits a retry."""
-    give_up_at = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         outcome = send(cluster, node, notice_body(nonce, tokens), headers)
-        if outcome.is_complete or time.monotonic() > give_up_at:
+        if outcome.is_complete or time.monotonic() > deadline:
             return outcome
         if outcome.error is not None and not outcome.error["retry"]:
             return outcome
--- a/tests/unit/forwarding/test_platform_headers.py
+++ b/tests/unit/forwarding/test_platform_headers.py
@@ -101,7 +101,7 @@
 
 
 def test_response_headers_are_decoded():
-    answer = DIALECT.decode_answer(
+    answer = DIALECT.decode_response(
         [
             (b"wheelslip-request-id", b"r1"),
             (b"wheelslip-not-executed", b"1"),
@@ -119,33 +119,33 @@
 
 
 def test_leaving_and_retry_after_headers_are_decoded():
-    answer = DIALECT.decode_answer([(b"Server-Leaving", b"1"), (b"Retry-After", b"2.5")])
+    answer = DIALECT.decode_response([(b"Server-Leaving", b"1"), (b"Retry-After", b"2.5")])
     assert answer.leaving and answer.retry_seconds == 2.5
-    without_headers = DIALECT.decode_answer([])
+    without_headers = DIALECT.decode_response([])
     assert not without_headers.leaving and without_headers.retry_seconds is None
 
 
 @pytest.mark.parametrize("value", [b"0", b"", b"no", b"11"])
 def test_other_values_of_the_leaving_header_are_ignored(value):
-    assert not DIALECT.decode_answer([(b"server-leaving", value)]).leaving
+    assert not DIALECT.decode_response([(b"server-leaving", value)]).leaving
 
 
 @pytest.mark.parametrize(
     "value", [b"soon", b"-4", b"+3", b"1e400", b"nan", b"inf", b"", b"1.", b"3 s", b"\xb2", b"1_0"]
 )
 def test_invalid_retry_after_is_ignored(value):
-    assert DIALECT.decode_answer([(b"retry-after", value)]).retry_seconds is None
+    assert DIALECT.decode_response([(b"retry-after", value)]).retry_seconds is None
 
 
 def test_retry_after_beyond_a_float_is_infinite():
-    assert DIALECT.decode_answer([(b"retry-after", b"9" * 400)]).retry_seconds == float("inf")
+    assert DIALECT.decode_response([(b"retry-after", b"9" * 400)]).retry_seconds == float("inf")
 
 
 @pytest.mark.parametrize(
     ("value", "rate"), [(b"1", 1.0), (b" 2.6 ", 2.6), (b".5", 0.5), (b"0", 0.0), (b"007", 7.0)]
 )
 def test_rate_limit_is_a_decimal_number(value, rate):
-    answer = DIALECT.decode_answer([(b"Server-Limit", value)])
+    answer = DIALECT.decode_response([(b"Server-Limit", value)])
     assert (answer.rate_limit, answer.unreadable_limit) == (rate, "")
 
 
@@ -153,11 +153,11 @@
     "value", [b"soon", b"-4", b"+3", b"1e400", b"nan", b"inf", b"1.", b"3/s", b"\xb2", b"1_0"]
 )
 def test_invalid_rate_limit_is_distinguished_from_an_absent_one(value):
-    answer = DIALECT.decode_answer([(b"server-limit", value)])
+    answer = DIALECT.decode_response([(b"server-limit", value)])
     assert answer.rate_limit is None and answer.unreadable_limit == value.decode("latin-1")
 
 
 @pytest.mark.parametrize("headers", [[], [(b"server-limit", b"")]])
 def test_absent_rate_limit_is_none(headers):
-    answer = DIALECT.decode_answer(headers)
+    answer = DIALECT.decode_response(headers)
     assert (answer.rate_limit, answer.unreadable_limit) == (None, "")
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def scheduler():
-    instance = Scheduler(SchedulerOptions(zone="z", ask_home=False), random.Random(1))
+    instance = Scheduler(SchedulerOptions(zone="z", use_home_lookup=False), random.Random(1))
     for name in ("a", "b", "c"):
         instance.update_engine(engine(name), 0.0)
     return instance
