--- a/src/wheelslip/callers/app.py
+++ b/src/wheelslip/callers/app.py
@@ -38,7 +38,7 @@
 class CallerServices:
     """Services of the node that the caller API uses.
 
-    :ivar configuration: returns the active configuration, or ``None`` before one is loaded.
+    :ivar configuration: returns the configuration in force, or ``None`` before the first.
     :ivar refresh_metrics: updates the gauges before the metrics are exported.
     """
 
--- a/src/wheelslip/forwarding/attempt.py
+++ b/src/wheelslip/forwarding/attempt.py
@@ -68,14 +68,14 @@
     clock: Callable[[], float]
 
 
-def write_buffered_response(answer: BufferedResponse, caller: CallerConnection) -> None:
+def write_buffered_response(buffered: BufferedResponse, caller: CallerConnection) -> None:
     """Write a buffered response of a worker to the caller."""
-    headers = end_to_end_headers(answer.response)
-    if answer.response.status_code not in (204, 304):
-        headers.append((b"Content-Length", b"%d" % len(answer.body)))
-    caller.write_head(answer.response.status_code, headers)
-    if answer.body:
-        caller.write_body(answer.body)
+    headers = end_to_end_headers(buffered.response)
+    if buffered.response.status_code not in (204, 304):
+        headers.append((b"Content-Length", b"%d" % len(buffered.body)))
+    caller.write_head(buffered.response.status_code, headers)
+    if buffered.body:
+        caller.write_body(buffered.body)
     caller.write_end()
 
 
@@ -161,14 +161,14 @@
         self._check_start_deadline()
         try:
             self._send()
-            response, answer = await self._read_head()
-            self._record_worker_state(response.status_code, answer)
-            if answer.not_executed or response.status_code == 421:
-                return await self._finish_not_run(response, answer)
+            response, metadata = await self._read_head()
+            self._record_worker_state(response.status_code, metadata)
+            if metadata.not_executed or response.status_code == 421:
+                return await self._finish_not_run(response, metadata)
             is_stream = job.route.kind is RouteKind.STREAM
             if is_stream and 200 <= response.status_code < 300:
-                return await self._relay_stream(response, answer)
-            return await self._relay_buffered(response, answer)
+                return await self._relay_stream(response, metadata)
+            return await self._relay_buffered(response, metadata)
         except PeerLost as error:
             job.failure_reason = str(error)
             self._record_outcome(failed=True)
@@ -202,26 +202,26 @@
         """
         while True:
             response = await self._connection.next_event()
-            answer = self._services.dialect.decode_response(response.headers)
-            if answer.request_id in (None, self._job.request.metadata.request_id):
-                return response, answer
+            metadata = self._services.dialect.decode_response(response.headers)
+            if metadata.request_id in (None, self._job.request.metadata.request_id):
+                return response, metadata
             while not isinstance(await self._connection.next_event(), h11.EndOfMessage):
                 pass
             self._connection.skip_foreign_response()
 
-    def _record_worker_state(self, status: int, answer: ResponseMetadata) -> None:
+    def _record_worker_state(self, status: int, metadata: ResponseMetadata) -> None:
         """Record the worker state reported in the response headers."""
         registry, info = self._services.registry, self._placement.worker.info
         model = self._job.request.metadata.model
-        if answer.instance is not None and answer.instance != info.worker_id:
+        if metadata.instance is not None and metadata.instance != info.worker_id:
             # Another process listens at the address; its headers do not describe this worker.
             registry.mark_replaced(info.id)
             return
         registry.notices.record_response(
-            info, status, answer, ResponseSource.REQUEST, self._sent_at
+            info, status, metadata, ResponseSource.REQUEST, self._sent_at
         )
-        if answer.weights_version is not None and model:
-            registry.record_weights(info.id, model, answer.weights_version)
+        if metadata.weights_version is not None and model:
+            registry.record_weights(info.id, model, metadata.weights_version)
 
     def _record_outcome(self, failed: bool) -> None:
         self._assignment.record_outcome(failed)
@@ -233,7 +233,7 @@
         self._assignment.record_first_token()
 
     async def _finish_not_run(
-        self, response: h11.Response, answer: ResponseMetadata
+        self, response: h11.Response, metadata: ResponseMetadata
     ) -> AttemptOutcome:
         # The head is sufficient proof; the body is read only to make the connection reusable.
         self._job.may_have_run -= 1
@@ -243,7 +243,7 @@
             await self._read_body()
         except PeerLost:
             return AttemptOutcome.NOT_RUN
-        self._release_connection(answer)
+        self._release_connection(metadata)
         return AttemptOutcome.NOT_RUN
 
     async def _read_body(self) -> bytes:
@@ -256,18 +256,18 @@
             if len(body) > MAX_BUFFERED_BYTES:
                 raise PeerLost("response larger than the buffer limit")
 
-    def _release_connection(self, answer: ResponseMetadata) -> None:
+    def _release_connection(self, metadata: ResponseMetadata) -> None:
         self.released = True
-        self._services.pool.release(self._placement.worker.info, self._connection, answer)
+        self._services.pool.release(self._placement.worker.info, self._connection, metadata)
 
     async def _relay_buffered(
-        self, response: h11.Response, answer: ResponseMetadata
+        self, response: h11.Response, metadata: ResponseMetadata
     ) -> AttemptOutcome:
         body = await self._read_body()
-        self._release_connection(answer)
+        self._release_connection(metadata)
         buffered = BufferedResponse(response, body)
         succeeded = 200 <= response.status_code < 300
-        if succeeded and not answer.signed:
+        if succeeded and not metadata.signed:
             raise PeerLost("success without a signature")
         failed = response.status_code >= 500
         self._record_outcome(failed=failed)
@@ -281,9 +281,9 @@
         return AttemptOutcome.ANSWERED
 
     async def _relay_stream(
-        self, response: h11.Response, answer: ResponseMetadata
+        self, response: h11.Response, metadata: ResponseMetadata
     ) -> AttemptOutcome:
-        if not answer.signed:
+        if not metadata.signed:
             raise PeerLost("success without a signature")
         splitter = EventSplitter()
         while True:
@@ -294,7 +294,7 @@
             await self._caller.drain()
         if splitter.incomplete:
             raise PeerLost("stream ended inside an event")
-        self._release_connection(answer)
+        self._release_connection(metadata)
         self._record_outcome(failed=False)
         self._start_stream(response)
         self._caller.write_end()
--- a/src/wheelslip/forwarding/control_calls.py
+++ b/src/wheelslip/forwarding/control_calls.py
@@ -51,12 +51,12 @@
         try:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 connection.send(method, target, headers, body)
-                answer = ControlResponse(*await read_response(connection))
+                result = ControlResponse(*await read_response(connection))
         except (PeerLost, TimeoutError) as error:
             connection.close()
             raise WorkerUnreachable(f"{target.decode()}: {error!r}") from error
-        self._release(worker, connection, answer.response)
-        return answer
+        self._release(worker, connection, result.response)
+        return result
 
     async def _connection(self, worker: WorkerInfo) -> HttpConnection:
         connection = self._idle.pop(worker.id, None)
--- a/src/wheelslip/forwarding/feed.py
+++ b/src/wheelslip/forwarding/feed.py
@@ -130,7 +130,7 @@
             self._response_task.cancel()
 
     def frame_received(self, payload: bytes) -> None:
-        """Start to answer a poll.
+        """Start to reply to a poll.
 
         :raises FrameError: when the previous poll is still in flight.
         """
@@ -138,15 +138,15 @@
         if self._response_task is not None and not self._response_task.done():
             raise FrameError("poll received before the previous one was answered")
         loop = asyncio.get_running_loop()
-        self._response_task = loop.create_task(self._answer(poll))
+        self._response_task = loop.create_task(self._reply(poll))
 
-    async def _answer(self, poll: FeedPoll) -> None:
-        batch = await self._server.answer(poll)
+    async def _reply(self, poll: FeedPoll) -> None:
+        batch = await self._server.reply(poll)
         self.transport.write(encode_frame(batch))
 
 
 class FeedServer:
-    """Answers other nodes' polls from this node's view.
+    """Replies to the polls of other nodes from this node's view.
 
     :param own_loads: returns the loads of this node's requests at the workers.
     """
@@ -183,7 +183,7 @@
             lambda: _FeedConnection(self), host, port, backlog=BACKLOG
         )
 
-    async def answer(self, poll: FeedPoll) -> FeedBatch:
+    async def reply(self, poll: FeedPoll) -> FeedBatch:
         """Wait for a change after the poll's revision and return it; may be empty on timeout."""
         arrived_at = self._clock()
         if poll.address:
--- a/src/wheelslip/forwarding/node.py
+++ b/src/wheelslip/forwarding/node.py
@@ -248,7 +248,7 @@
         return self._placement.total_load(worker.info.id).running if worker is not None else 0.0
 
     def hold_bytes(self, count: int) -> None:
-        """Reserve memory as request bodies do."""
+        """Reserve memory as if for request bodies; for tests."""
         self._callers.reserve_bytes(count)
 
     def receive_datagram(self, data: bytes) -> None:
--- a/src/wheelslip/forwarding/registry.py
+++ b/src/wheelslip/forwarding/registry.py
@@ -160,7 +160,7 @@
         )
         return min(ends) if self._clock() < min(ends) else None
 
-    # Updates
+    # Changes of the store
 
     async def changed(self) -> None:
         """Wait until the view changes."""
@@ -297,7 +297,7 @@
             key: value for key, (value, _) in self._system_entries.items() if key.startswith(prefix)
         }
 
-    # Workers
+    # Queries on workers
 
     @property
     def workers(self) -> dict[Incarnation, Worker]:
@@ -360,7 +360,7 @@
         declared = self.configuration.services if self.configuration is not None else {}
         return worker.info.service in declared and self.view.accepts_orders(worker)
 
-    # Weights
+    # Weights versions and loads
 
     def loading_workers(self) -> frozenset[Incarnation]:
         """Return the incarnations that load weights, by the latest record unless it is too old."""
--- a/src/wheelslip/forwarding/registry_sync.py
+++ b/src/wheelslip/forwarding/registry_sync.py
@@ -261,7 +261,7 @@
         own_address: str = "",
         loads: Sequence[LoadAtWorker] = (),
     ) -> FeedBatch:
-        """Apply the changes in another node's view and return its answer.
+        """Apply the changes in another node's view and return its reply.
 
         :param client: client without a poll in flight.
         :raises FeedUnavailable: when the node does not answer.
--- a/src/wheelslip/forwarding/worker_pool.py
+++ b/src/wheelslip/forwarding/worker_pool.py
@@ -52,13 +52,13 @@
         )
 
     def release(
-        self, worker: WorkerInfo, connection: HttpConnection, answer: ResponseMetadata
+        self, worker: WorkerInfo, connection: HttpConnection, metadata: ResponseMetadata
     ) -> None:
         """Return a connection to the pool after a complete response, or close it."""
-        if answer.closes_connection or not connection.reusable:
+        if metadata.closes_connection or not connection.reusable:
             connection.close()
             return
-        keep_alive = answer.keep_alive_seconds
+        keep_alive = metadata.keep_alive_seconds
         seconds = DEFAULT_IDLE_SECONDS if keep_alive is None else keep_alive - IDLE_MARGIN_SECONDS
         if seconds <= 0:
             connection.close()
--- a/src/wheelslip/forwarding/worker_view.py
+++ b/src/wheelslip/forwarding/worker_view.py
@@ -34,7 +34,7 @@
 
     :param bounds: returns the bounds in force.
     :param clock: steady clock in seconds.
-    :param notices: what workers reported in their answers; kept independently of their entries.
+    :param notices: what workers reported in their responses; kept independently of their entries.
     :ivar workers: workers by incarnation.
     :ivar on_removed: called with each incarnation that is removed.
     """
@@ -228,7 +228,7 @@
             for model, version in models.items() if worker is not None else ():
                 worker.weights[model] = max(version, worker.weights.get(model, 0))
 
-    # Availability
+    # Availability of workers
 
     def in_use(self, service: str) -> list[Worker]:
         """Return the workers of a service that accept new requests."""
--- a/src/wheelslip/routing/tenant_limits.py
+++ b/src/wheelslip/routing/tenant_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of tenants, counted by one node for all nodes.
+"""Rate limits of tenants, enforced by one node for all nodes.
 
 The dispatching node charges the requests that it grants, so that limits need no messages of their
 own. Each limit is a token bucket that fills in proportion to the node's authority
