--- a/tests/unit/forwarding/test_feed.py
+++ b/tests/unit/forwarding/test_feed.py
@@ -41,7 +41,7 @@
     relay = empty_registry(relay_clock)
     relay.apply("wheelslip/x", b"1", 3)
     relay.confirm(4999.0)
-    batch = asyncio.run(server(relay, relay_clock).answer(FeedPoll(0)))
+    batch = asyncio.run(server(relay, relay_clock).reply(FeedPoll(0)))
     assert batch.confirmed_offset == -1.0
     registry, sync = follower(own_clock)
     sent_at = own_clock.now
--- a/tests/unit/forwarding/test_removal_before_first_view.py
+++ b/tests/unit/forwarding/test_removal_before_first_view.py
@@ -41,7 +41,7 @@
         self.registry.confirm(clock())
 
     def poll(self, other: "Node") -> FeedBatch:
-        batch = asyncio.run(other.server.answer(FeedPoll(self.sync._revision)))
+        batch = asyncio.run(other.server.reply(FeedPoll(self.sync._revision)))
         self.sync._apply_batch(batch, clock())
         return batch
 
