--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -42,7 +42,7 @@
 
     :param blocks: number of indexed prompt blocks.
     """
-    scheduler = Scheduler(SchedulerOptions(ask_home=False), random.Random(1))
+    scheduler = Scheduler(SchedulerOptions(use_home_lookup=False), random.Random(1))
     for number in range(engines):
         info = EngineInfo(f"e{number}", "", "z", "i", "m", "v1")
         scheduler.update_engine(info, 0.0)
